--- /dev/null
+++ b/packages/gateway/include/fuchsialoom/gateway/connection_pool.h
@@ -0,0 +1,46 @@
+/// \file
+/// Pool of open connections to targets, reused since a new connection costs the target a millisecond and is charged for.
+#pragma once
+
+#include "fuchsialoom/core/targets.h"
+#include "fuchsialoom/http/http_link.h"
+#include "fuchsialoom/support/ids.h"
+
+#include <map>
+#include <memory>
+#include <vector>
+
+namespace fuchsialoom
+{
+
+asio::ip::tcp::endpoint tcpEndpointOf(const endpoint &address);
+
+class connection_pool
+{
+public:
+    explicit connection_pool(asio::io_context &loop);
+
+    /// Returns the most recently used idle connection to \p target, or a new one.
+    std::shared_ptr<http_link> acquire(const target_id &target, const endpoint &address);
+
+    /// Keeps \p link for another request if it is reusable and there is room; closes it otherwise.
+    void release(const target_id &target, const std::shared_ptr<http_link> &link);
+
+    /// Closes the idle connections to \p target.
+    void closeIdle(const target_id &target);
+
+    /// Connections made so far.
+    std::uint64_t made() const
+    {
+        return m_made;
+    }
+    /// Idle connections to all targets.
+    std::size_t idle() const;
+
+private:
+    asio::io_context &m_loop;
+    std::map<target_id, std::vector<std::shared_ptr<http_link>>> m_idle; ///< by target; the most recently used is last
+    std::uint64_t m_made = 0;
+};
+
+} // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/demand_view.h
+++ b/packages/gateway/include/fuchsialoom/gateway/demand_view.h
@@ -1,6 +1,6 @@
 /// \file
-/// What all VMs are asked for, by model, from their digests; smoothed, so that a plan follows a shift of
-/// demand within a second or two and not every request. Sans-I/O.
+/// Demand over all VMs by model, from their digests. Smoothed, so that a plan follows a shift of demand within a second or
+/// two, but not every single request. Sans-I/O.
 #pragma once
 
 #include "fuchsialoom/fleet/words.h"
@@ -13,10 +13,10 @@
 
 struct model_streams
 {
-    double now = 0; ///< requests that run or wait, smoothed over about a second
-    double remembered = 0; ///< the most of late, fading: guards copies after a burst
-    std::uint32_t waiting = 0; ///< at all VMs, as last told
-    double rising = 0; ///< streams more each second, smoothed; never below 0
+    double now = 0; ///< running and waiting requests, smoothed over about a second
+    double remembered = 0; ///< decaying peak of `now`; keeps replicas for a while after a burst
+    std::uint32_t waiting = 0; ///< waiting requests at all VMs, as last reported
+    double growthRate = 0; ///< growth in streams per second, smoothed; never negative
 };
 
 class demand_view
@@ -24,19 +24,19 @@
 public:
     demand_view();
 
-    /// A model's streams in a moment, at the rate at which they rise now.
+    /// A model's streams \p ahead seconds from now, at the current growth rate.
     static double projected(const model_streams &streams, double ahead)
     {
-        return streams.now + ahead * streams.rising;
+        return streams.now + ahead * streams.growthRate;
     }
 
-    /// \p vm's word, in place of its earlier one.
-    void tell(instant now, const vm_id &vm, const std::vector<demand_entry> &demand);
+    /// Replaces the demand reported by \p vm.
+    void setDemand(instant now, const vm_id &vm, const std::vector<demand_entry> &demand);
 
-    /// How long a model's demand is remembered: about what it takes to load it again, and a little more.
+    /// Sets how long a model's peak demand is remembered: a little longer than \p loadSeconds, the time to load it again.
     void setMemory(double loadSeconds);
 
-    /// To be called a few times a second.
+    /// Updates the smoothed values. Must be called a few times per second.
     void advance(instant now);
 
     const std::map<model_id, model_streams> &models() const
@@ -45,13 +45,13 @@
     }
 
 private:
-    struct teller
+    struct vm_demand
     {
         std::map<model_id, demand_entry> demand;
         instant heardAt{};
     };
 
-    std::map<vm_id, teller> m_tellers;
+    std::map<vm_id, vm_demand> m_vmDemands;
     std::map<model_id, model_streams> m_models;
     instant m_advancedAt{};
     double m_memorySeconds;
--- a/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
+++ b/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
@@ -1,18 +1,19 @@
 /// \file
-/// Who may order what targets hold: a lease kept as the newest record of a log that appends under the
-/// condition that nothing came in between. Sans-I/O.
+/// Lease on the duty: the role of the one VM that may send load and unload orders to targets. The lease is the
+/// newest record of a log with conditional appends: an append succeeds only if the log still ends where the caller
+/// expects. Sans-I/O.
 ///
-/// Why two VMs never order within the turn time of each other, though targets check nothing:
+/// Targets check no fencing token. Two VMs nevertheless never order within the turn time of each other:
 ///
-///   - A holder orders only while less than `lease` has passed since it *sent* its last renewal that
-///     succeeded; the clock it counts by runs on while the VM is suspended.
-///   - A renewal succeeds only if the holder's record is still the newest. So from the moment a successor's
-///     record is in the log, no renewal succeeds.
-///   - A successor reads the newest record and claims under the condition that it still is. All renewals of
-///     the earlier holder that ever succeed were therefore sent before that read was answered, and it
-///     orders nothing later than `lease` after that. The successor orders from `lease` plus the turn time after.
-///   - A holder whose lease ends unrenewed never orders under its fence again, and tells when it last did.
-///     A successor that hears so waits only for the turn time after that order.
+///   - A holder orders only while less than `lease` has passed since it *sent* its last successful renewal.
+///     Its clock keeps running while the VM is suspended.
+///   - A renewal succeeds only if the holder's record is still the newest. Once a successor's record is in the log,
+///     no renewal succeeds.
+///   - A successor reads the newest record and claims on the condition that it still is the newest. The earlier
+///     holder therefore sent every successful renewal before that read was answered, and sends no order more than
+///     `lease` after the read. The successor orders only after `lease` plus the turn time.
+///   - A holder whose lease expires never orders under that fence again, and announces when it last ordered. A
+///     successor that receives the announcement waits only for the turn time after that order.
 #pragma once
 
 #include "fuchsialoom/fleet/words.h"
@@ -48,8 +49,8 @@
     lease_record_kind kind = lease_record_kind::Claim;
     vm_id holder;
     std::uint64_t incarnation = 0;
-    std::uint64_t fence = 0; ///< position of the claim; 0 in the claim itself
-    milliseconds sinceLastOrder{0}; ///< in a release
+    std::uint64_t fence = 0; ///< log offset of the claim; 0 in the claim itself
+    milliseconds sinceLastOrder{0}; ///< set in a release only
 
     friend bool operator==(const lease_record &, const lease_record &) = default;
 };
@@ -59,17 +60,17 @@
     vm_id vm;
     std::uint64_t incarnation = 0;
     milliseconds lease{1500};
-    milliseconds renewEvery{600};
-    milliseconds turnTime{3000}; ///< between orders of two VMs
-    milliseconds holderSilence{1000}; ///< a holder that peers don't hear for so long may be gone, unless set otherwise
-    milliseconds confirm{900}; ///< between two looks at the log: a holder that lives renews meanwhile
+    milliseconds renewInterval{600};
+    milliseconds turnTime{3000}; ///< minimum time between orders of two VMs
+    milliseconds holderSilence{1000}; ///< initial value for setHolderSilence()
+    milliseconds confirmDelay{900}; ///< between reading the log and claiming; a running holder renews in this time
 };
 
-/// What the caller of step functions is to do.
+/// The I/O that the caller must perform after tick().
 enum class lease_action {
     None,
-    Read, ///< the newest record, and the end of the log; answer with onRead() or onReadFailed()
-    Append, ///< nextRecord() under the condition end(); answer with onAppended() or onAppendFailed()
+    Read, ///< read the newest record and the end of the log, then call onRead() or onReadFailed()
+    Append, ///< append nextRecord() if the log ends at end(), then call onAppended(), onAppendConflict() or onAppendFailed()
 };
 
 class duty_lease
@@ -77,34 +78,35 @@
 public:
     explicit duty_lease(lease_options options, instant now);
 
-    /// To be called several times in a renewal interval, and after each answer.
+    /// Must be called several times per renewal interval, and after each completed call to the log.
     lease_action tick(instant now);
 
-    /// \p newest: nothing where the log is empty.
+    /// \p newest is empty if the log is empty.
     void onRead(instant now, std::uint64_t end, const std::optional<lease_record> &newest, std::uint64_t newestOffset);
     void onReadFailed(instant now);
     void onAppended(instant now, std::uint64_t offset);
-    /// The log ends elsewhere: another record came, or an own append whose answer was lost.
-    void onMoved(instant now);
-    /// \p unknown: it may have been appended, or may be yet.
+    /// The log doesn't end at end(): another VM appended, or an earlier append of this VM succeeded but its response
+    /// was lost.
+    void onAppendConflict(instant now);
+    /// \p unknown: the record may have been appended, or may still be.
     void onAppendFailed(instant now, bool unknown);
 
-    /// Word of a peer that holds the duty.
+    /// A peer reported that it holds the duty.
     void onHolderHeard(instant now);
 
-    /// A holder that peers don't hear for so long may be gone.
+    /// Sets the time without a report from a holder after which this VM tries to claim the duty.
     void setHolderSilence(milliseconds silence)
     {
         m_holderSilence = silence;
     }
 
-    /// Word of a peer that held it.
+    /// A former holder announced that it orders no more under its fence.
     void onRenounced(instant now, const renounced_fence &word);
 
-    /// What this VM has to tell of its own last term; nothing while it holds one, or never held any.
+    /// The announcement for this VM's last term as holder; empty while it holds the duty or if it never did.
     std::optional<renounced_fence> renounced(instant now) const;
 
-    /// This VM ordered something just now.
+    /// Records that this VM sends an order at \p now.
     void noteOrder(instant now)
     {
         m_lastOrder = now;
@@ -119,15 +121,15 @@
         return m_end;
     }
 
-    /// Gives the duty up for good.
+    /// Gives up the duty permanently, with a release record if this VM holds it.
     void release(instant now);
 
-    /// Whether this VM has the lease; it may still have to wait for its first order.
+    /// Whether this VM has the lease. It may still have to wait before its first order.
     bool isHolder(instant now) const
     {
         return m_state == state::Holding && now < m_leaseUntil;
     }
-    /// To be asked right before each order.
+    /// Must be checked right before each order.
     bool mayOrder(instant now) const
     {
         return isHolder(now) && now >= m_orderFrom;
@@ -140,7 +142,7 @@
     {
         return m_fence;
     }
-    /// Another VM may have ordered before this one, in this term or since the term before.
+    /// Whether another VM may have sent orders since this VM's previous term, or before its first one.
     bool tookOver() const
     {
         return m_tookOver;
@@ -152,39 +154,39 @@
 
 private:
     enum class state {
-        Watching, ///< somebody else holds it, or nobody is known to
+        Watching, ///< another VM holds the lease, or no holder is known
         Holding,
-        Releasing, ///< the release is to be appended
+        Releasing, ///< the release record isn't appended yet
         Released,
     };
 
     lease_action append(instant now, lease_record_kind kind);
     bool isMine(const lease_record &record) const;
     void becomeHolder(instant sentAt, std::uint64_t fence);
-    void lapse(instant now);
+    void expireLease(instant now);
     bool isRenounced(const lease_record &record, std::uint64_t offset) const;
-    milliseconds sinceTurnBegan(instant now) const;
+    milliseconds elapsedTurnTime(instant now) const;
 
     const lease_options m_options;
-    milliseconds m_holderSilence; ///< a duration, since it changes with this VM's rank while the silence lasts
+    milliseconds m_holderSilence; ///< a duration, not a deadline: it can change with this VM's rank during the silence
     state m_state = state::Watching;
-    bool m_busy = false; ///< a read or append is under way
-    bool m_mustRead = true; ///< what the log's newest record is isn't known for certain
-    std::uint64_t m_end = 0; ///< of the log, as last known
-    lease_record m_pending; ///< being appended
-    instant m_sentAt{}; ///< of the append under way
-    instant m_nextAt{}; ///< nothing is done before
-    instant m_heardAt{}; ///< latest word of a holder
-    std::optional<std::uint64_t> m_seenEnd; ///< of the first look in this silence
-    std::optional<std::uint64_t> m_seenFence; ///< of the holder that the look showed, where one may still order
-    instant m_claimOrderFrom{}; ///< from when a claim made now may order
+    bool m_callInFlight = false; ///< a read or append is in flight
+    bool m_mustRead = true; ///< the log's newest record isn't known for certain
+    std::uint64_t m_end = 0; ///< last known end of the log
+    lease_record m_pending; ///< record being appended
+    instant m_sentAt{}; ///< when the current append was sent
+    instant m_nextAt{}; ///< no read or append starts before
+    instant m_heardAt{}; ///< when a holder was last heard from
+    std::optional<std::uint64_t> m_observedEnd; ///< end of the log at the read in this silence; empty before it
+    std::optional<std::uint64_t> m_observedFence; ///< fence of the holder found by that read, if it may still order
+    instant m_claimOrderFrom{}; ///< earliest order under a claim made now
     instant m_leaseUntil{};
     instant m_orderFrom{};
     std::uint64_t m_fence = 0;
-    std::optional<instant> m_lastOrder; ///< of this VM
-    std::optional<std::uint64_t> m_ownRenounced; ///< fence of the own term that ended
-    std::optional<std::uint64_t> m_renounced; ///< fence of another's term that ended by its own word
-    instant m_renouncedTurn{}; ///< from when a successor of that term may order
+    std::optional<instant> m_lastOrder; ///< this VM's last order in this term
+    std::optional<std::uint64_t> m_ownRenouncedFence; ///< fence of this VM's last term, once ended
+    std::optional<std::uint64_t> m_renouncedFence; ///< last fence that a peer renounced
+    instant m_renouncedOrderFrom{}; ///< earliest order of a successor to that term
     bool m_tookOver = false;
 };
 
--- a/packages/gateway/include/fuchsialoom/gateway/loss_account.h
+++ b/packages/gateway/include/fuchsialoom/gateway/loss_summary.h
@@ -1,6 +1,5 @@
 /// \file
-/// Reads the decision log of any number of VMs back: the lines of one request, and what all requests lost by
-/// cause, from the line that each ends with.
+/// Parses the decision logs of any number of VMs, and counts how requests ended, by cause, from the last line of each.
 #pragma once
 
 #include "fuchsialoom/support/ids.h"
@@ -19,12 +18,12 @@
 /// How a request ended, for its caller.
 enum class request_ending {
     OnTime,
-    FirstLateWaiting, ///< its first event was late, and it had waited here for half of its objective or more
-    FirstLateAtTarget, ///< its first event was late, and the target took most of the time
+    FirstLateWaiting, ///< its first event was late after it waited in the queue for at least half of its objective
+    FirstLateAtTarget, ///< its first event was late for any other reason
     PausedLong, ///< a pause between events exceeded the objective
     Refused,
     Failed,
-    Abandoned, ///< its caller left first
+    Abandoned, ///< its caller disconnected first
 };
 
 template<>
@@ -41,17 +40,17 @@
     });
 };
 
-/// One line of a decision log; values are single words.
+/// One line of a decision log, as `key=value` pairs; values contain no spaces.
 class log_record
 {
 public:
-    /// \return nothing for a line that is none of a decision log. What stands before the line's time is skipped, so
-    /// that lines which a collector has prefixed can be read.
+    /// \return nothing if \p line isn't from a decision log. Skips anything before the time, so that lines prefixed by a
+    /// log collector can be parsed.
     static std::optional<log_record> parse(std::string_view line);
 
-    /// Empty where the line hasn't \p key.
+    /// Empty if the line has no \p key.
     std::string_view value(std::string_view key) const;
-    /// 0 where the line hasn't \p key, or it holds no number.
+    /// 0 if the line has no \p key or its value isn't a number.
     std::int64_t number(std::string_view key) const;
 
     milliseconds wallTime() const
@@ -63,11 +62,11 @@
     std::map<std::string, std::string, std::less<>> m_values;
 };
 
-/// \return nothing for a line that ends no request.
+/// \return nothing if \p record doesn't end a request.
 std::optional<request_ending> endingOf(const log_record &record);
 
-/// Counts of endings by route, with the reason that the log gives for each.
-class loss_account
+/// Counts endings by route and logged reason.
+class loss_summary
 {
 public:
     struct cause
@@ -85,7 +84,7 @@
         return m_routes;
     }
 
-    /// A line for each route and cause, the largest losses of a route first.
+    /// One line per route and cause; within a route, losses come first, most frequent first.
     std::string toText() const;
 
 private:
--- a/packages/gateway/include/fuchsialoom/gateway/peer_exchange.h
+++ b/packages/gateway/include/fuchsialoom/gateway/peer_transport.h
@@ -1,5 +1,5 @@
 /// \file
-/// Carries the words between VMs: datagrams in and out for a fleet_node, and its timers.
+/// UDP transport and timers of a fleet_node, which exchanges messages with the other VMs.
 #pragma once
 
 #include "fuchsialoom/fleet/fleet_node.h"
@@ -13,20 +13,20 @@
 namespace fuchsialoom
 {
 
-class peer_exchange
+class peer_transport
 {
 public:
     /// \throws std::system_error when the address of \p self can't be bound.
-    peer_exchange(asio::io_context &loop, const vm_record &self, std::uint64_t incarnation, fleet_events events, decision_log &log);
+    peer_transport(asio::io_context &loop, const vm_record &self, std::uint64_t incarnation, fleet_events events, decision_log &log);
 
     void start();
 
-    /// A VM has registered.
+    /// Adds a VM that registered.
     void know(const vm_record &record);
-    /// An address where a VM may be, whose record isn't known.
+    /// Adds an address where a VM may be reachable whose record isn't known.
     void addSeed(const endpoint &address);
 
-    /// \name What this VM has to tell; it goes out within some milliseconds.
+    /// \name Messages of this VM to its peers, sent within a few milliseconds.
     /// @{
     void noteFlights();
     void raiseWant(const adapter_want &want);
@@ -39,10 +39,12 @@
         return m_fleet;
     }
 
+    /// Datagrams sent.
     std::uint64_t sent() const
     {
         return m_sent;
     }
+    /// Datagrams received, including malformed ones.
     std::uint64_t received() const
     {
         return m_received;
@@ -62,7 +64,7 @@
     fleet_node m_fleet;
     std::array<char, 65536> m_incoming{};
     asio::ip::udp::endpoint m_from;
-    instant m_armedFor = farFuture; ///< when the timer goes off
+    instant m_armedFor = farFuture; ///< when the timer expires
     std::uint64_t m_sent = 0;
     std::uint64_t m_received = 0;
     std::uint64_t m_malformed = 0;
--- a/packages/gateway/include/fuchsialoom/gateway/target_pool.h
+++ b/packages/gateway/include/fuchsialoom/gateway/target_pool.h
@@ -1,6 +1,6 @@
 /// \file
-/// The targets as one VM knows them: what is listed, what they hold, what all VMs have in flight there,
-/// and which of them failed lately. Chooses the target of a request. Sans-I/O.
+/// One VM's view of the targets: their listings, the models they hold, the requests that all VMs have in flight there,
+/// and recent failures. Chooses the target of a request. Sans-I/O.
 #pragma once
 
 #include "fuchsialoom/core/targets.h"
@@ -26,39 +26,39 @@
     friend bool operator==(const held_model &, const held_model &) = default;
 };
 
-/// A target as the platform lists it. Each start of its process has an id of its own, so whatever was said of one
-/// life of a target can't be taken for another.
-struct listed_upstream
+/// A target as the platform lists it. Each start of its process has its own id, so that information about one
+/// incarnation of a target is never applied to another.
+struct target_listing
 {
     target_id id;
     service_id service;
     endpoint address;
     domain_id domain;
-    std::uint32_t slots = 1; ///< requests that it works on at once
-    bool leaving = false; ///< gets nothing new
-    bool isEngine = false; ///< what it holds is managed
+    std::uint32_t slots = 1; ///< requests that it runs concurrently
+    bool leaving = false; ///< gets no new requests
+    bool isEngine = false; ///< whether its models are loaded and unloaded by orders
     std::vector<held_model> models;
 
-    friend bool operator==(const listed_upstream &, const listed_upstream &) = default;
+    friend bool operator==(const target_listing &, const target_listing &) = default;
 };
 
 struct pool_target
 {
-    listed_upstream listed; ///< with what is news
-    std::vector<held_model> listedModels; ///< without
-    target_key key; ///< of the listed id
-    target_flights own;
-    target_flights peers; ///< the sum of their latest words
-    double trouble = 0; ///< share of late attempts that failed, decaying; 0 to 1
-    instant troubleAt{}; ///< up to when `trouble` has decayed
-    instant avoidUntil{}; ///< after a connection that couldn't be made, or silence
-    instant displacedUntil{}; ///< another process answered at its address: it is gone, whatever is still listed
-    bool displaced = false; ///< `displacedUntil` is ahead, as far as housekeeping has looked
-    instant unreachableUntil{}; ///< its host refused a connection, here or at another VM
-    bool unreachable = false; ///< `unreachableUntil` is ahead, as far as housekeeping has looked
-    std::uint32_t refusals = 0; ///< times that it became unreachable since it last answered
-
-    /// Whether it may get requests and orders.
+    target_listing listed; ///< with unexpired news applied
+    std::vector<held_model> listedModels; ///< as listed, without news
+    target_key key; ///< key of the listed id
+    target_flights own; ///< attempts of this VM
+    target_flights peers; ///< sum of the latest counts of all peers
+    double failureShare = 0; ///< share of recent attempts that failed, 0 to 1; decays
+    instant failureShareAt{}; ///< time up to which `failureShare` has decayed
+    instant avoidUntil{}; ///< used only if no other target has room, after a failed connection or a timeout
+    instant displacedUntil{}; ///< another process answered at its address: the target is gone, even if still listed
+    bool displaced = false; ///< `displacedUntil` was in the future at the last expirePeers()
+    instant unreachableUntil{}; ///< its host refused a connection from this VM or a peer
+    bool unreachable = false; ///< `unreachableUntil` was in the future at the last expirePeers()
+    std::uint32_t consecutiveRefusals = 0; ///< times it became unreachable since its last successful attempt
+
+    /// Whether it may get new requests and orders.
     bool takesNew() const
     {
         return !listed.leaving && !displaced && !unreachable;
@@ -79,17 +79,17 @@
 {
     service_id service;
     model_id model; ///< empty for plain services
-    adapter_id adapter; ///< empty when none is used
+    adapter_id adapter; ///< empty if none is used
     std::uint32_t promptTokens = 0;
-    const std::set<target_id> *tried = nullptr; ///< not there again
+    const std::set<target_id> *tried = nullptr; ///< targets to exclude, tried before; may be null
 };
 
 /// Why no target was chosen.
 enum class pool_verdict {
     Chosen,
-    NoTarget, ///< none of the service is listed
-    NotResident, ///< none holds the model or adapter
-    NoRoom, ///< those that hold it are full, or have prompts enough to read
+    NoTarget, ///< no target of the service is available
+    NotResident, ///< no target holds the model or adapter
+    NoRoom, ///< all targets that hold it have no free slot or too many unread prompt tokens
 };
 
 template<>
@@ -105,9 +105,9 @@
 
 struct target_choice
 {
-    pool_target *target = nullptr; ///< valid until the pool's next change of targets
+    pool_target *target = nullptr; ///< valid until a target is listed or unlisted
     pool_verdict verdict = pool_verdict::NoTarget;
-    std::size_t candidates = 0; ///< targets that could serve the request once they have room
+    std::size_t candidates = 0; ///< targets that could serve the request, with room or without
 };
 
 class target_pool
@@ -117,53 +117,55 @@
     target_pool(const target_pool &) = delete;
     target_pool &operator=(const target_pool &) = delete;
 
-    /// \name What the platform lists.
+    /// \name Listings from the platform.
     /// @{
-    /// Adds or changes a target. \return whether anything but lapsed news changed.
-    bool list(instant now, listed_upstream target);
+    /// Adds or updates a target. \return whether its listing changed, with news applied.
+    bool list(instant now, target_listing target);
     void unlist(const target_id &id);
     /// @}
 
-    /// \p news holds against the list's older word for a time.
+    /// Applies a peer's news of a target. It overrides the listing for a short time, as the listing may be older.
     void learn(instant now, const residency_news &news);
 
-    /// A target said that it doesn't hold this.
+    /// The target itself answered that it doesn't hold the model or adapter.
     void noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter);
 
-    /// \p vm's counts, in place of its earlier ones; they lapse when it stays silent.
+    /// Replaces all counts of \p vm. They expire if the VM stays silent.
     void setPeerFlights(instant now, const vm_id &vm, const flight_counts &counts);
-    /// Those that changed, zeros among them.
+    /// Updates the counts of \p vm that changed; a count may be zero.
     void changePeerFlights(instant now, const vm_id &vm, const flight_counts &changed);
     void forgetPeerFlights(const vm_id &vm);
+    /// Drops the counts of silent peers and ends the time for which targets are displaced or unreachable.
     void expirePeers(instant now);
-    /// News that lapsed gives way to the list's word. \return whether any did.
+    /// Drops expired news and restores the listed models. \return whether any news expired.
     bool expireNews(instant now);
 
+    /// Chooses the available target with the lowest score. \p draw is a random number that breaks ties.
     target_choice choose(instant now, const target_query &query, std::uint64_t draw);
 
     /// \name Attempts of this VM.
     /// @{
     void begin(const target_id &id, std::uint32_t promptTokens);
-    /// The first event came: the prompt is read.
+    /// The first event arrived, so the target has read the prompt.
     void read(const target_id &id, std::uint32_t promptTokens);
-    /// \p unreadTokens: of a prompt whose first event never came.
+    /// \p unreadTokens: tokens of the prompt if its first event never arrived, else 0.
     void end(const target_id &id, std::uint32_t unreadTokens);
     void succeeded(instant now, const target_id &id);
-    /// A request ran for \p length at a target of \p service.
+    /// Records that a request ran for \p length at a target of \p service.
     void noteRun(const service_id &service, milliseconds length);
     void failed(instant now, const target_id &id);
-    /// No connection, or no sign of life: avoided for a while.
+    /// Avoids the target for \p length, after a failed connection or a timeout.
     void avoid(instant now, const target_id &id, milliseconds length);
-    /// Another process answered at its address. \return whether that is news.
+    /// Another process answered at the target's address. \return whether that wasn't known.
     bool displace(instant now, const target_id &id);
-    /// Its host refused a connection: no process is there, until it has had time to start again. \return whether that
-    /// is news.
+    /// The target's host refused a connection, so no process is listening. The target gets no requests until it has had
+    /// time to restart. \return whether that wasn't known.
     bool noteUnreachable(instant now, const target_id &id);
     /// @}
 
-    /// What this VM has in flight, for a whole digest.
+    /// All requests that this VM has in flight, for a full digest.
     flight_counts ownFlights() const;
-    /// What changed of it since the last call, zeros among them.
+    /// Counts that changed since the last call, including those now zero.
     flight_counts takeChangedFlights();
 
     const pool_target *find(const target_id &id) const;
@@ -171,11 +173,11 @@
     {
         return m_targets;
     }
-    /// Whether the targets that started together are all listed, as far as can be told. Once true it stays
-    /// so: later targets come one by one.
+    /// Whether all targets that started together are likely listed. Stays true once it is: later targets start one by
+    /// one.
     bool isSettled(instant now);
 
-    /// A free place at a target of \p service, and of \p model where that is set.
+    /// Whether a target of \p service that holds \p model, if set, has a free slot.
     bool hasRoom(const service_id &service, const model_id &model) const;
 
 private:
@@ -188,19 +190,19 @@
     void applyNews(instant now, pool_target &target);
     void setHeld(pool_target &target, const residency_news &news);
     double scoreOf(instant now, const pool_target &target, std::uint64_t draw) const;
-    static std::uint32_t placesOf(const pool_target &target);
-    /// Requests at \p target, as far as they can still be there.
+    static std::uint32_t slotsOf(const pool_target &target);
+    /// Requests in flight at \p target. For plain targets, excludes counts of peers too old to be still valid.
     std::uint32_t inFlightAt(instant now, const pool_target &target) const;
 
     const domain_id m_ownDomain;
     std::map<target_id, pool_target> m_targets;
-    instant m_lastArrival{}; ///< when a target was last listed that wasn't known before
+    instant m_lastNewTargetAt{}; ///< when a new target was last listed
     bool m_settled = false;
-    std::map<target_key, target_id> m_keys; ///< of the targets listed
+    std::map<target_key, target_id> m_keys; ///< ids of the listed targets
     flight_ledger m_peers;
-    std::map<service_id, microseconds> m_runs; ///< of plain services: mean of the latest runs
-    std::set<target_id> m_changedFlights; ///< own, not told yet
-    std::map<target_id, std::vector<held_news>> m_news; ///< not yet certain to be in the list; bounded by time
+    std::map<service_id, microseconds> m_runs; ///< moving average of run times by service; used for plain targets
+    std::set<target_id> m_changedFlights; ///< targets whose own counts changed and weren't taken yet
+    std::map<target_id, std::vector<held_news>> m_news; ///< news that listings may not include yet; bounded by its expiry
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/demand_view.cpp
+++ b/packages/gateway/lib/demand_view.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Demand over all VMs.
+/// Implements the view of demand over all VMs.
 #include "fuchsialoom/gateway/demand_view.h"
 
 #include <algorithm>
@@ -9,30 +9,30 @@
 namespace fuchsialoom
 {
 
-/// A VM that is silent for so long asks for nothing any more.
-static constexpr milliseconds tellerSilence{2000};
-/// Time in which the smoothed value makes two thirds of a step: a request lasts about 1.5 s, and a shift
-/// of demand to another model takes 4 s or more.
+/// The demand of a VM silent for this long is dropped.
+static constexpr milliseconds vmSilenceTimeout{2000};
+/// Time constant of the smoothed value, which makes about two thirds of a step in this time. A request lasts about 1.5 s,
+/// and a shift of demand to another model takes 4 s or more.
 static constexpr double smoothingSeconds = 0.6;
-/// The same for the rise: long enough that clumps of arrivals are no rise.
-static constexpr double slopeSeconds = 1.0;
-/// Time in which the remembered value falls by two thirds, beside the time of a load. Demand that moves on
-/// comes back seldom, and its copies hold the places that the next models need.
-static constexpr double leastMemorySeconds = 1.5;
+/// Time constant of the growth rate, long enough that a short burst of arrivals doesn't count as growth.
+static constexpr double growthSmoothingSeconds = 1.0;
+/// Time constant of the remembered peak, to which the load time is added; the peak falls by about two thirds in this time.
+/// Demand that has moved to other models rarely returns, and its replicas occupy the memory that those models need.
+static constexpr double minMemorySeconds = 1.5;
 
 demand_view::demand_view()
-    : m_memorySeconds(leastMemorySeconds)
+    : m_memorySeconds(minMemorySeconds)
 {
 }
 
 void demand_view::setMemory(double loadSeconds)
 {
-    m_memorySeconds = leastMemorySeconds + loadSeconds;
+    m_memorySeconds = minMemorySeconds + loadSeconds;
 }
 
-void demand_view::tell(instant now, const vm_id &vm, const std::vector<demand_entry> &demand)
+void demand_view::setDemand(instant now, const vm_id &vm, const std::vector<demand_entry> &demand)
 {
-    teller &told = m_tellers[vm];
+    vm_demand &told = m_vmDemands[vm];
     told.heardAt = now;
     told.demand.clear();
     for (const demand_entry &entry : demand) {
@@ -44,15 +44,15 @@
 
 void demand_view::advance(instant now)
 {
-    std::erase_if(m_tellers, [now](const auto &entry) {
-        return now - entry.second.heardAt > tellerSilence;
+    std::erase_if(m_vmDemands, [now](const auto &entry) {
+        return now - entry.second.heardAt > vmSilenceTimeout;
     });
     std::map<model_id, std::uint32_t> busy;
     for (auto &[model, streams] : m_models) {
         streams.waiting = 0;
         busy[model] = 0;
     }
-    for (const auto &[vm, told] : m_tellers) {
+    for (const auto &[vm, told] : m_vmDemands) {
         for (const auto &[model, entry] : told.demand) {
             busy[model] += entry.running + entry.waiting;
             m_models[model].waiting += entry.waiting;
@@ -68,7 +68,8 @@
         streams.now += (count - streams.now) * step;
         if (passed > 0) {
             const double slope = (streams.now - before) / passed;
-            streams.rising = std::max(0.0, streams.rising + (slope - streams.rising) * (1 - std::exp(-passed / slopeSeconds)));
+            streams.growthRate =
+                std::max(0.0, streams.growthRate + (slope - streams.growthRate) * (1 - std::exp(-passed / growthSmoothingSeconds)));
         }
         streams.remembered = std::max(streams.now, streams.remembered * fade);
     }
--- a/packages/gateway/lib/exchange_attempts.cpp
+++ b/packages/gateway/lib/exchange_attempts.cpp
@@ -65,7 +65,7 @@
     made.target = target.listed.id;
     made.sentAt = now;
     made.lastByteAt = now;
-    made.link = m_owner.m_links.take(target.listed.id, target.listed.address);
+    made.link = m_owner.m_links.acquire(target.listed.id, target.listed.address);
     m_tried.insert(made.target);
     made.unreadTokens = m_isEngine ? m_facts.promptTokens : 0;
     m_owner.m_pool.begin(made.target, made.unreadTokens);
@@ -333,7 +333,7 @@
     const target_id target = m_attempt->target;
     m_owner.m_pool.end(target, m_attempt->unreadTokens);
     m_owner.noteFlights();
-    m_owner.m_links.give(target, m_attempt->link);
+    m_owner.m_links.release(target, m_attempt->link);
     m_attempt.reset();
 }
 
--- a/packages/gateway/unittests/loss_account_test.cpp
+++ b/packages/gateway/unittests/loss_summary_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Decision logs read back: endings by cause, with or without what a collector put before each line.
-#include "fuchsialoom/gateway/loss_account.h"
+/// Tests the parser for decision logs, with and without a prefix from a log collector, and the counts of endings.
+#include "fuchsialoom/gateway/loss_summary.h"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
     return endingOf(record.value()).value();
 }
 
-TEST(loss_account, readsLinesWithAPrefix)
+TEST(loss_summary, readsLinesWithAPrefix)
 {
     const std::optional<log_record> record = log_record::parse("  12.5 vm-1 time=1700 mono=5 vm=vm-1 event=sent request=r1 waited-ms=30");
     ASSERT_TRUE(record);
@@ -26,7 +26,7 @@
     EXPECT_FALSE(log_record::parse("time=5 but nothing more"));
 }
 
-TEST(loss_account, tellsEndingsApart)
+TEST(loss_summary, distinguishesEndings)
 {
     const std::string objective = " objective-ms=400 gap-objective-ms=300";
     EXPECT_EQ(endingOfLine("result=answered first-ms=80 gap-ms=90 waited-ms=3" + objective), request_ending::OnTime);
@@ -39,9 +39,9 @@
     EXPECT_EQ(endingOfLine("result=failed reason=broken"), request_ending::Failed);
 }
 
-TEST(loss_account, countsByRouteAndCause)
+TEST(loss_summary, countsByRouteAndCause)
 {
-    loss_account account;
+    loss_summary account;
     for (const char *line : {"time=1 event=done route=chat result=refused reason=queue-full",
                              "time=2 event=done route=chat result=refused reason=queue-full",
                              "time=3 event=done route=chat result=answered reason=stream first-ms=1",
--- a/packages/gateway/unittests/target_pool_test.cpp
+++ b/packages/gateway/unittests/target_pool_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The choice of a target by what it holds, what all VMs have in flight there, and what failed there.
+/// Tests the choice of a target by the models it holds, the requests in flight there, and its failures.
 #include "fuchsialoom/gateway/target_pool.h"
 
 #include <gtest/gtest.h>
@@ -13,9 +13,9 @@
 static constexpr instant start = instant(std::chrono::seconds(1000));
 static const service_id service("s");
 
-static listed_upstream engineAt(const std::string &id, const std::string &domain, std::vector<held_model> models)
+static target_listing engineAt(const std::string &id, const std::string &domain, std::vector<held_model> models)
 {
-    listed_upstream made;
+    target_listing made;
     made.id = target_id(id);
     made.service = service;
     made.domain = domain_id(domain);
@@ -47,7 +47,7 @@
     target_pool m_pool{domain_id("here")};
 };
 
-TEST_F(target_pool_test, onlyWhereModelAndAdapterAre)
+TEST_F(target_pool_test, choosesOnlyTargetsWithModelAndAdapter)
 {
     EXPECT_EQ(choose("n"), "far");
     EXPECT_EQ(choose("m", "a1"), "near");
@@ -57,7 +57,7 @@
     EXPECT_EQ(m_verdict, pool_verdict::NotResident);
 }
 
-TEST_F(target_pool_test, peersRequestsTakePlacesToo)
+TEST_F(target_pool_test, peersRequestsUseSlotsToo)
 {
     m_pool.setPeerFlights(m_now, vm_id("peer"), {{target_id("near"), {4, 0}}});
     EXPECT_EQ(choose("m"), "far");
@@ -73,7 +73,7 @@
 
 TEST_F(target_pool_test, aTargetThatLeavesGetsNothing)
 {
-    listed_upstream leaving = engineAt("near", "here", {{model_id("m"), {}}});
+    target_listing leaving = engineAt("near", "here", {{model_id("m"), {}}});
     leaving.leaving = true;
     m_pool.list(m_now, leaving);
     for (int draw = 0; draw < 20; ++draw) {
@@ -84,7 +84,7 @@
     EXPECT_EQ(m_verdict, pool_verdict::NoTarget);
 }
 
-TEST_F(target_pool_test, neverTwiceWhereItWasTried)
+TEST_F(target_pool_test, excludesTriedTargets)
 {
     const std::set<target_id> tried{target_id("near")};
     EXPECT_EQ(choose("m", "", &tried), "far");
@@ -117,11 +117,11 @@
     EXPECT_EQ(choose("m"), "near");
 }
 
-TEST_F(target_pool_test, newsHoldsAgainstTheOlderEntry)
+TEST_F(target_pool_test, newsOverridesAnOlderEntry)
 {
     m_pool.learn(m_now, {target_id("near"), model_id("k"), {}, true});
     EXPECT_EQ(choose("k"), "near");
-    // The engine wrote its entry before the load was over.
+    // The engine wrote this entry before the load completed.
     m_pool.list(m_now, engineAt("near", "here", {{model_id("m"), {}}}));
     EXPECT_EQ(choose("k"), "near");
     m_now += seconds(4);
@@ -129,7 +129,7 @@
     EXPECT_EQ(choose("k"), "");
 }
 
-TEST_F(target_pool_test, aTargetsOwnWordThatItHoldsNothingCounts)
+TEST_F(target_pool_test, aModelThatTheTargetReportsAbsentIsNotUsed)
 {
     m_pool.noteAbsent(m_now, target_id("far"), model_id("n"), {});
     EXPECT_EQ(choose("n"), "");
@@ -145,7 +145,7 @@
     EXPECT_GT(counts["far"], 20);
 }
 
-/// Engines that started together were listed over 2.5 s, 1.2 s apart at most.
+/// Engines that start together are listed over 2.5 s, at most 1.2 s apart (observed).
 TEST_F(target_pool_test, aListingIsSettledOnceNothingNewComes)
 {
     m_pool.list(start + milliseconds(1200), engineAt("second", "here", {}));
@@ -157,20 +157,20 @@
     EXPECT_FALSE(target_pool(domain_id("here")).isSettled(start + seconds(9)));
 }
 
-/// 60 VMs, calls of 15 ms: a peer tells of a send at once, but of its end up to a second later. Its word holds for as
-/// long as the call can last; after that the target has room again.
-TEST(target_pool_flights, aPeersWordOfAShortCallDoesNotOutliveIt)
+/// With 60 VMs and calls of 15 ms, a peer reports a send at once but its end up to a second later. Guards against counting
+/// the call for longer than it can last, which keeps requests from an idle target.
+TEST(target_pool_flights, aPeersCountOfAShortCallExpires)
 {
     const instant start(std::chrono::seconds(1000));
     target_pool pool(domain_id("d"));
-    listed_upstream plain;
+    target_listing plain;
     plain.id = target_id("p1");
     plain.service = service_id("calls");
     plain.slots = 6;
     pool.list(start, plain);
     const target_query query{service_id("calls"), {}, {}, 0, nullptr};
     pool.setPeerFlights(start, vm_id("b"), {{target_id("p1"), {6, 0}}});
-    EXPECT_EQ(pool.choose(start + milliseconds(500), query, 1).verdict, pool_verdict::NoRoom) << "no run is known yet";
+    EXPECT_EQ(pool.choose(start + milliseconds(500), query, 1).verdict, pool_verdict::NoRoom) << "run time isn't known yet";
     for (int run = 0; run < 20; ++run) {
         pool.noteRun(service_id("calls"), milliseconds(15));
     }
@@ -179,12 +179,12 @@
     EXPECT_EQ(pool.choose(start + milliseconds(560), query, 1).verdict, pool_verdict::Chosen);
 }
 
-/// Streams of engines last for seconds, and stand until their VM says otherwise.
-TEST(target_pool_flights, aPeersWordOfStreamsHolds)
+/// Streams at engines last for seconds, so a peer's count stays valid until the peer changes it.
+TEST(target_pool_flights, aPeersCountOfStreamsDoesNotExpire)
 {
     const instant start(std::chrono::seconds(1000));
     target_pool pool(domain_id("d"));
-    listed_upstream engine;
+    target_listing engine;
     engine.id = target_id("e1");
     engine.service = service_id("models");
     engine.slots = 6;
@@ -197,8 +197,8 @@
               pool_verdict::NoRoom);
 }
 
-/// Digests, notes, silence, and targets that come and go in any order: the sum is always that of the latest words.
-RC_GTEST_PROP(target_pool_flights, sumsTheLatestWords, ())
+/// For digests, notes, silence, and targets listed and unlisted in any order, the sum is that of the latest counts.
+RC_GTEST_PROP(target_pool_flights, sumsTheLatestCounts, ())
 {
     std::mt19937 random(*rc::gen::inRange(1U, 1000000U));
     const instant start(std::chrono::seconds(1000));
@@ -220,7 +220,7 @@
             pool.unlist(targetAt(random() % 5));
             break;
         case 1: {
-            listed_upstream listed;
+            target_listing listed;
             listed.id = targetAt(random() % 5);
             pool.list(now, listed);
             break;
@@ -252,12 +252,12 @@
     }
 }
 
-/// Entries that repeat what a target said before needn't be listed again: the list's word comes back by itself.
-TEST(target_pool_news, whatLapsesGivesWayToTheList)
+/// A repeated entry isn't listed again, so the listed models must be restored when news expires.
+TEST(target_pool_news, expiredNewsRestoresTheListing)
 {
     constexpr instant start = instant(std::chrono::seconds(1000));
     target_pool pool{domain_id("a")};
-    listed_upstream engine;
+    target_listing engine;
     engine.id = target_id("e1");
     engine.service = service_id("s");
     engine.isEngine = true;
@@ -269,11 +269,11 @@
     EXPECT_FALSE(pool.expireNews(start + milliseconds(500)));
     EXPECT_TRUE(pool.expireNews(start + milliseconds(3500)));
     EXPECT_TRUE(pool.find(engine.id)->holds(model_id("m1"), {}));
-    EXPECT_TRUE(pool.find(engine.id)->holds(model_id("m2"), {})) << "this news holds on";
+    EXPECT_TRUE(pool.find(engine.id)->holds(model_id("m2"), {})) << "this news hasn't expired yet";
 }
 
-/// An engine that crashed has nothing in flight, so it would be everybody's first choice until its entry lapses.
-TEST_F(target_pool_test, whoseHostRefusesIsNotChosenUntilItHadTimeToStart)
+/// A crashed engine has nothing in flight. Guards against its being every VM's first choice until its entry expires.
+TEST_F(target_pool_test, aTargetWhoseHostRefusesIsNotChosenUntilItHadTimeToRestart)
 {
     EXPECT_EQ(choose("n"), "far");
     m_pool.learn(m_now, {target_id("far"), {}, {}, false});
@@ -282,18 +282,18 @@
     m_pool.learn(m_now + milliseconds(900), {target_id("far"), {}, {}, false});
     m_now += milliseconds(1600);
     m_pool.expirePeers(m_now);
-    EXPECT_EQ(choose("n"), "far") << "a word told again takes it out once";
+    EXPECT_EQ(choose("n"), "far") << "repeated news must not extend the time";
     EXPECT_TRUE(m_pool.noteUnreachable(m_now, target_id("far")));
     m_now += milliseconds(1600);
     m_pool.expirePeers(m_now);
-    EXPECT_EQ(choose("n"), "") << "longer each time";
+    EXPECT_EQ(choose("n"), "") << "the time doubles with each refusal";
     m_now += milliseconds(1500);
     m_pool.expirePeers(m_now);
     m_pool.succeeded(m_now, target_id("far"));
     EXPECT_TRUE(m_pool.noteUnreachable(m_now, target_id("far")));
     m_now += milliseconds(1600);
     m_pool.expirePeers(m_now);
-    EXPECT_EQ(choose("n"), "far") << "it had answered meanwhile";
+    EXPECT_EQ(choose("n"), "far") << "a successful attempt resets the time";
 }
 
 } // namespace fuchsialoom
