--- a/packages/gateway/include/fuchsialoom/gateway/target_pool.h
+++ b/packages/gateway/include/fuchsialoom/gateway/target_pool.h
@@ -125,7 +125,7 @@
     /// @}
 
     /// Applies a peer's news of a target. It overrides the listing for a short time, as the listing may be older.
-    void learn(instant now, const residency_news &news);
+    void addNews(instant now, const residency_news &news);
 
     /// The target itself answered that it doesn't hold the model or adapter.
     void noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter);
--- a/packages/gateway/lib/target_pool.cpp
+++ b/packages/gateway/lib/target_pool.cpp
@@ -168,7 +168,7 @@
     }
 }
 
-void target_pool::learn(instant now, const residency_news &news)
+void target_pool::addNews(instant now, const residency_news &news)
 {
     const auto found = m_targets.find(news.target);
     if (found == m_targets.end()) {
@@ -188,7 +188,7 @@
 
 void target_pool::noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter)
 {
-    learn(now, {id, model, adapter, false});
+    addNews(now, {id, model, adapter, false});
 }
 
 void target_pool::setPeerFlights(instant now, const vm_id &vm, const flight_counts &counts)
--- a/packages/gateway/unittests/target_pool_test.cpp
+++ b/packages/gateway/unittests/target_pool_test.cpp
@@ -119,7 +119,7 @@
 
 TEST_F(target_pool_test, newsOverridesAnOlderEntry)
 {
-    m_pool.learn(m_now, {target_id("near"), model_id("k"), {}, true});
+    m_pool.addNews(m_now, {target_id("near"), model_id("k"), {}, true});
     EXPECT_EQ(choose("k"), "near");
     // The engine wrote this entry before the load completed.
     m_pool.list(m_now, engineAt("near", "here", {{model_id("m"), {}}}));
@@ -264,7 +264,7 @@
     engine.models = {{model_id("m1"), {}}};
     pool.list(start, engine);
     pool.noteAbsent(start, engine.id, model_id("m1"), {});
-    pool.learn(start + milliseconds(1000), {engine.id, model_id("m2"), {}, true});
+    pool.addNews(start + milliseconds(1000), {engine.id, model_id("m2"), {}, true});
     EXPECT_FALSE(pool.find(engine.id)->holds(model_id("m1"), {}));
     EXPECT_FALSE(pool.expireNews(start + milliseconds(500)));
     EXPECT_TRUE(pool.expireNews(start + milliseconds(3500)));
@@ -276,10 +276,10 @@
 TEST_F(target_pool_test, aTargetWhoseHostRefusesIsNotChosenUntilItHadTimeToRestart)
 {
     EXPECT_EQ(choose("n"), "far");
-    m_pool.learn(m_now, {target_id("far"), {}, {}, false});
+    m_pool.addNews(m_now, {target_id("far"), {}, {}, false});
     EXPECT_EQ(choose("n"), "");
     EXPECT_FALSE(m_pool.find(target_id("far"))->takesNew());
-    m_pool.learn(m_now + milliseconds(900), {target_id("far"), {}, {}, false});
+    m_pool.addNews(m_now + milliseconds(900), {target_id("far"), {}, {}, false});
     m_now += milliseconds(1600);
     m_pool.expirePeers(m_now);
     EXPECT_EQ(choose("n"), "far") << "repeated news must not extend the time";
