--- a/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
+++ b/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
@@ -101,7 +101,7 @@
     }
 
     /// A former holder announced that it orders no more under its fence.
-    void onRenounced(instant now, const renounced_fence &word);
+    void onRenounced(instant now, const renounced_fence &announcement);
 
     /// The announcement for this VM's last term as holder; empty while it holds the duty or if it never did.
     std::optional<renounced_fence> renounced(instant now) const;
--- a/packages/gateway/lib/demand_view.cpp
+++ b/packages/gateway/lib/demand_view.cpp
@@ -32,12 +32,12 @@
 
 void demand_view::setDemand(instant now, const vm_id &vm, const std::vector<demand_entry> &demand)
 {
-    vm_demand &told = m_vmDemands[vm];
-    told.heardAt = now;
-    told.demand.clear();
+    vm_demand &report = m_vmDemands[vm];
+    report.heardAt = now;
+    report.demand.clear();
     for (const demand_entry &entry : demand) {
         if (entry.adapter.empty()) {
-            told.demand[entry.model] = entry;
+            report.demand[entry.model] = entry;
         }
     }
 }
@@ -52,8 +52,8 @@
         streams.waiting = 0;
         busy[model] = 0;
     }
-    for (const auto &[vm, told] : m_vmDemands) {
-        for (const auto &[model, entry] : told.demand) {
+    for (const auto &[vm, report] : m_vmDemands) {
+        for (const auto &[model, entry] : report.demand) {
             busy[model] += entry.running + entry.waiting;
             m_models[model].waiting += entry.waiting;
         }
--- a/packages/gateway/lib/duty_lease.cpp
+++ b/packages/gateway/lib/duty_lease.cpp
@@ -184,21 +184,21 @@
     m_heardAt = now;
 }
 
-void duty_lease::onRenounced(instant now, const renounced_fence &word)
+void duty_lease::onRenounced(instant now, const renounced_fence &announcement)
 {
-    if (m_renouncedFence == word.fence) {
+    if (m_renouncedFence == announcement.fence) {
         return;
     }
-    m_renouncedFence = word.fence;
-    m_renouncedOrderFrom = now + std::max(milliseconds(0), m_options.turnTime - word.sinceLastOrder);
+    m_renouncedFence = announcement.fence;
+    m_renouncedOrderFrom = now + std::max(milliseconds(0), m_options.turnTime - announcement.sinceLastOrder);
     if (m_state == state::Watching) {
         m_heardAt = std::min(m_heardAt, now - m_options.holderSilence);
-        if (m_observedFence == word.fence) {
+        if (m_observedFence == announcement.fence) {
             // The last read found this holder. It orders no more, so the wait for its lease can be cut short.
             m_claimOrderFrom = std::min(m_claimOrderFrom, std::max(now, m_renouncedOrderFrom));
             m_nextAt = std::min(m_nextAt, now);
         }
-    } else if (m_state == state::Holding && m_observedFence == word.fence) {
+    } else if (m_state == state::Holding && m_observedFence == announcement.fence) {
         m_orderFrom = std::min(m_orderFrom, std::max(now, m_renouncedOrderFrom));
     }
 }
--- a/packages/gateway/unittests/duty_lease_test.cpp
+++ b/packages/gateway/unittests/duty_lease_test.cpp
@@ -186,8 +186,8 @@
             m_orders.push_back({m_now, vm, lease.fence()});
             lease.noteOrder(m_now);
         }
-        if (const auto word = lease.renounced(m_now)) {
-            broadcastRenounced(vm, *word);
+        if (const auto announcement = lease.renounced(m_now)) {
+            broadcastRenounced(vm, *announcement);
         }
         if (lease.isHolder(m_now)) {
             for (int other = 0; other < vmCount; ++other) {
@@ -198,7 +198,7 @@
         }
     }
 
-    void broadcastRenounced(int vm, const renounced_fence &word)
+    void broadcastRenounced(int vm, const renounced_fence &announcement)
     {
         for (int other = 0; other < vmCount; ++other) {
             if (other == vm || chance(m_faults.lostDigests)) {
@@ -207,7 +207,7 @@
             const std::uint64_t incarnation = m_vms[other].incarnation;
             schedule(randomDelay(0, 2000), [=, this] {
                 deliverResponse(other, incarnation, [=, this](duty_lease &lease) {
-                    lease.onRenounced(m_now, word);
+                    lease.onRenounced(m_now, announcement);
                 });
             });
         }
--- a/packages/gateway/unittests/loss_summary_test.cpp
+++ b/packages/gateway/unittests/loss_summary_test.cpp
@@ -41,14 +41,14 @@
 
 TEST(loss_summary, countsByRouteAndCause)
 {
-    loss_summary account;
+    loss_summary summary;
     for (const char *line : {"time=1 event=done route=chat result=refused reason=queue-full",
                              "time=2 event=done route=chat result=refused reason=queue-full",
                              "time=3 event=done route=chat result=answered reason=stream first-ms=1",
                              "time=4 event=sent route=chat"}) {
-        account.add(log_record::parse(line).value());
+        summary.add(log_record::parse(line).value());
     }
-    EXPECT_EQ(account.toText(),
+    EXPECT_EQ(summary.toText(),
               "route=chat ending=refused reason=queue-full requests=2 of=3\n"
               "route=chat ending=on-time reason=stream requests=1 of=3\n");
 }
--- a/packages/gateway/unittests/target_pool_test.cpp
+++ b/packages/gateway/unittests/target_pool_test.cpp
@@ -203,7 +203,7 @@
     std::mt19937 random(*rc::gen::inRange(1U, 1000000U));
     const instant start(std::chrono::seconds(1000));
     target_pool pool(domain_id("d"));
-    std::map<vm_id, flight_counts> words;
+    std::map<vm_id, flight_counts> latestCounts;
     const auto targetAt = [](unsigned number) {
         return target_id("e" + std::to_string(number));
     };
@@ -227,25 +227,25 @@
         }
         case 2:
             pool.setPeerFlights(now, vm, counts);
-            words[vm] = counts;
+            latestCounts[vm] = counts;
             break;
         case 3:
             now += seconds(3);
             pool.expirePeers(now);
-            words.clear();
+            latestCounts.clear();
             break;
         default:
             pool.changePeerFlights(now, vm, counts);
             for (const auto &[id, count] : counts) {
-                words[vm][id] = count;
+                latestCounts[vm][id] = count;
             }
             break;
         }
         for (const auto &[id, target] : pool.targets()) {
             target_flights sum;
-            for (const auto &[peer, told] : words) {
-                const auto of = told.find(id);
-                sum += of == told.end() ? target_flights() : of->second;
+            for (const auto &[peer, reported] : latestCounts) {
+                const auto of = reported.find(id);
+                sum += of == reported.end() ? target_flights() : of->second;
             }
             RC_ASSERT(target.peers == sum);
         }
