--- a/packages/gateway/lib/peer_transport.cpp
+++ b/packages/gateway/lib/peer_transport.cpp
@@ -18,12 +18,12 @@
 /// Logs each change in the fleet's membership before it is passed on.
 static fleet_events withChangeLogging(fleet_events events, decision_log &log, const fleet_node &fleet)
 {
-    events.onChange = [told = std::move(events.onChange), &log, &fleet](fleet_change change, const vm_id &vm) {
+    events.onChange = [forwarded = std::move(events.onChange), &log, &fleet](fleet_change change, const vm_id &vm) {
         log.write(
             loopNow(),
             log_line("fleet").with("change", change).with("peer", vm).with("live", fleet.liveVms()).with("members", fleet.memberCount()));
-        if (told) {
-            told(change, vm);
+        if (forwarded) {
+            forwarded(change, vm);
         }
     };
     return events;
