--- a/packages/gateway/include/fuchsialoom/gateway/decision_log.h
+++ b/packages/gateway/include/fuchsialoom/gateway/decision_log.h
@@ -1,6 +1,6 @@
 /// \file
-/// The log of an event loop: one key=value line for each decision, on standard output. It never blocks:
-/// lines wait in a bounded buffer, and what doesn't fit is dropped and counted in a line of its own.
+/// Structured log of an event loop: one line of key=value fields per decision. It never blocks: lines are kept in a
+/// bounded buffer, and lines that don't fit are dropped and counted in a line of their own.
 #pragma once
 
 #include "fuchsialoom/support/ids.h"
@@ -15,7 +15,7 @@
 namespace fuchsialoom
 {
 
-/// One line under way: `log_line("refused", id).with("reason", "no-room")`.
+/// Builds one line: `log_line("refused", id).with("reason", "no-room")`.
 class log_line
 {
 public:
@@ -57,20 +57,20 @@
 class decision_log
 {
 public:
-    /// Writes to the descriptor \p output, which is made non-blocking.
+    /// Writes to the file descriptor \p output, which is made non-blocking.
     decision_log(int output, std::string vm);
 
-    /// Lines that decide nothing for a request are written always, those of requests while the second's
-    /// share of them lasts.
+    /// Appends a line that isn't about a request.
     void write(instant now, const log_line &line);
+    /// Appends a line about a request, or drops it if this second's limit on such lines is reached.
     void writeRequest(instant now, const log_line &line);
 
-    /// Writes what waits, as far as the reader takes it. To be called now and then.
+    /// Writes buffered lines until the descriptor would block. To be called periodically.
     void flush();
 
     std::uint64_t dropped() const
     {
-        return m_droppedEver;
+        return m_droppedTotal;
     }
 
 private:
@@ -78,11 +78,11 @@
 
     int m_output;
     std::string m_vm;
-    std::string m_waiting;
-    instant m_second{}; ///< start of the second that m_inSecond counts
-    std::uint32_t m_inSecond = 0;
-    std::uint64_t m_dropped = 0; ///< since the last line that told of it
-    std::uint64_t m_droppedEver = 0;
+    std::string m_buffer;
+    instant m_secondStart{}; ///< start of the second in which m_linesThisSecond counts
+    std::uint32_t m_linesThisSecond = 0;
+    std::uint64_t m_dropped = 0; ///< since the last log-dropped line
+    std::uint64_t m_droppedTotal = 0;
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/drain_rules.h
+++ b/packages/gateway/include/fuchsialoom/gateway/drain_rules.h
@@ -1,9 +1,9 @@
 /// \file
-/// Which requests a VM that is to stop may still begin: those that end before the VM does, by what such
-/// requests have taken of late. Pure.
+/// Which requests a stopping VM may still start: those expected to finish before it stops, going by the durations of
+/// recent similar requests. No I/O.
 ///
-/// A stream that is begun and can't end is cut off, and its caller has waited for nothing; another VM serves it
-/// whole if it is told so at once. The same holds for a request that waits for an engine until the VM ends.
+/// A stream that can't finish is cut off, and its caller has waited in vain; if it is refused at once, another VM can
+/// serve all of it. The same holds for a request that is queued until the VM stops.
 #pragma once
 
 #include "fuchsialoom/support/time.h"
@@ -15,25 +15,25 @@
 namespace fuchsialoom
 {
 
-/// One answered request.
+/// Measurements of one answered request.
 struct run_sample
 {
-    milliseconds first{0}; ///< from its send to its first event, or to its whole answer where it is no stream
-    milliseconds rest{0}; ///< from the first event to the end; 0 for what is no stream
+    milliseconds first{0}; ///< from the send to the first event of a stream, or to the complete answer otherwise
+    milliseconds rest{0}; ///< from a stream's first event to its end; 0 if not a stream
     std::uint64_t events = 0;
-    std::uint32_t outputTokens = 0; ///< the most that its caller allows; 0: not said
+    std::uint32_t outputTokens = 0; ///< the caller's limit; 0 if it sent none
 };
 
-/// The pace of the streams under way of one model, over the last 1 to 2 s. While a model's targets become slower, the
-/// slow streams have not ended yet, so those that ended say nothing of it.
+/// Measures the time per event of one model's running streams over the last 1 to 2 s. While targets slow down, the slow
+/// streams are still running, so finished streams alone would miss the slowdown.
 class pace_meter
 {
 public:
-    /// A stream made \p events events within \p span.
-    void note(instant now, milliseconds span, std::uint64_t events);
+    /// Adds a sample: a stream produced \p events events in \p span.
+    void record(instant now, milliseconds span, std::uint64_t events);
 
-    /// Milliseconds an event; 0 where none was noted of late.
-    double present(instant now) const;
+    /// Milliseconds per event; 0 without recent samples.
+    double current(instant now) const;
 
 private:
     struct window
@@ -43,20 +43,20 @@
         std::uint64_t events = 0; ///< sum
     };
 
-    std::array<window, 2> m_windows{}; ///< the present one and the one before it
+    std::array<window, 2> m_windows{}; ///< current and previous
 };
 
-/// What the requests of one route took, over the last 10 to 20 s.
+/// Measures the durations of one route's requests over the last 10 to 20 s.
 class run_meter
 {
 public:
-    void note(instant now, const run_sample &sample);
+    void record(instant now, const run_sample &sample);
 
-    /// From the send of a request that allows \p outputTokens to the end of its answer; on the long side. Its events
-    /// come at the pace of those that ended, or at \p presentPace (ms an event) where that is slower. One that names no
-    /// tokens is as long as the longest.
-    /// \p otherwise: while no run is known.
-    milliseconds expected(instant now, std::uint32_t outputTokens, double presentPace, milliseconds otherwise) const;
+    /// Conservative estimate of the time from the send of a request with the limit \p outputTokens to the end of its
+    /// answer. Assumes the time per event of finished streams, or \p currentPace (ms per event) if that is longer.
+    /// Without a token limit (0), assumes the longest recent duration.
+    /// \return \p fallback if there are no recent samples.
+    milliseconds expected(instant now, std::uint32_t outputTokens, double currentPace, milliseconds fallback) const;
 
 private:
     struct window
@@ -67,39 +67,39 @@
         milliseconds longestRest{0};
         milliseconds rest{0}; ///< sum
         std::uint64_t events = 0; ///< sum
-        double eventsPerToken = 0; ///< the most
+        double eventsPerToken = 0; ///< maximum
     };
 
-    bool isFresh(instant now, const window &one) const;
+    bool isFresh(instant now, const window &period) const;
 
-    std::array<window, 2> m_windows{}; ///< the present one and the one before it
+    std::array<window, 2> m_windows{}; ///< current and previous
 };
 
-/// Until when a VM that stops does what. These are compared where a request is decided: a flag that is set once its
-/// moment has come would be late by as much as whatever sets it, and let in what arrives meanwhile.
+/// The deadlines of a stopping VM. They are compared with the clock at each decision: a flag set by a timer would be
+/// as late as the timer, and requests that arrive meanwhile would be accepted.
 struct stop_plan
 {
-    instant newUntil = farFuture; ///< what arrives from then on is refused
-    instant end = farFuture; ///< what still runs is given up; never before newUntil
+    instant acceptUntil = farFuture; ///< requests that arrive later are refused
+    instant end = farFuture; ///< requests still running are aborted; never before acceptUntil
 
     bool isStopping() const
     {
         return end != farFuture;
     }
-    /// Also true while no stop is under way.
-    bool takesNew(instant now) const
+    /// Also true if no stop is planned.
+    bool acceptsNew(instant now) const
     {
-        return now < newUntil;
+        return now < acceptUntil;
     }
 };
 
-/// For a VM that heard at \p heardAt that it is to stop: takes new requests for \p newFor, and runs on for \p runFor.
-constexpr stop_plan planStop(instant heardAt, milliseconds newFor, milliseconds runFor)
+/// Plan for a VM that was told to stop at \p heardAt: accepts requests for \p acceptFor and exits after \p runFor.
+constexpr stop_plan planStop(instant heardAt, milliseconds acceptFor, milliseconds runFor)
 {
-    return {heardAt + std::min(newFor, runFor), heardAt + runFor};
+    return {heardAt + std::min(acceptFor, runFor), heardAt + runFor};
 }
 
-/// Whether a request that is sent at \p now and runs for \p run is over by \p end.
+/// Whether a request sent at \p now that takes \p run finishes by \p end.
 constexpr bool endsInTime(instant now, milliseconds run, instant end)
 {
     return now + run <= end;
--- a/packages/gateway/include/fuchsialoom/gateway/event_scanner.h
+++ b/packages/gateway/include/fuchsialoom/gateway/event_scanner.h
@@ -1,6 +1,6 @@
 /// \file
-/// Cuts the bytes of an event stream at the ends of its events, so that only whole events go on to a
-/// caller and another target can continue after the last of them.
+/// Splits the bytes of an event stream into events, so that only complete events are relayed to a caller and another
+/// target can resume after the last of them.
 #pragma once
 
 #include <cstdint>
@@ -14,26 +14,25 @@
 class event_scanner
 {
 public:
-    /// Adds \p bytes. \return the whole events that they complete, to be passed on; those up to `lastId`
-    /// are left out.
+    /// Adds \p bytes. \return the complete events to relay. After a restart, events up to `lastId` are omitted.
     std::string feed(std::string_view bytes);
 
-    /// Starts on another target's stream, which continues after the last event.
+    /// Prepares for the stream of another attempt, which resumes after the last event.
     void restart();
 
-    /// Id of the last event that was passed on; nothing before the first.
+    /// Id of the last relayed event; empty before the first.
     std::optional<std::uint64_t> lastId() const
     {
         return m_lastId;
     }
 
-    /// Events passed on.
+    /// Number of relayed events.
     std::uint64_t count() const
     {
         return m_count;
     }
 
-    /// Bytes after the last whole event.
+    /// Bytes after the last complete event.
     const std::string &rest() const
     {
         return m_rest;
@@ -45,7 +44,7 @@
     std::string m_rest;
     std::optional<std::uint64_t> m_lastId;
     std::uint64_t m_count = 0;
-    bool m_continued = false; ///< another target's stream: events that the caller has are dropped
+    bool m_isResumed = false; ///< the stream was restarted: events that the caller has received are dropped
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/gateway.h
+++ b/packages/gateway/include/fuchsialoom/gateway/gateway.h
@@ -1,7 +1,7 @@
 /// \file
-/// The request path of one VM: admits requests by the configuration in force, queues them, chooses their
-/// targets and keeps what its requests share. Each request is an `exchange`. One event loop's thread
-/// alone uses it.
+/// The request path of one VM: admits requests as the current configuration says, queues them, chooses their targets
+/// and owns the state that they share. Each request is an `exchange`. Not thread-safe: only the event loop's thread
+/// may use it.
 #pragma once
 
 #include "fuchsialoom/core/admission_queue.h"
@@ -30,14 +30,14 @@
 
 class exchange;
 
-/// Why a request is refused, as not run.
+/// Why a request that hasn't run is refused.
 enum class refusal {
-    NotConfigured, ///< no configuration is known yet
+    NotConfigured, ///< no configuration was received yet
     NoTarget,
     NotResident,
     UnknownModel, ///< the service has no such model or adapter
-    QueueFull, ///< it can't start in time, by the rate at which the queue drains
-    TimedOut, ///< its time ran out in the queue
+    QueueFull, ///< it can't start in time at the rate at which the queue drains
+    TimedOut, ///< its deadline passed while it was queued
     TargetsRefused,
     Draining,
 };
@@ -61,17 +61,17 @@
 {
     vm_id vm;
     domain_id domain;
-    shared_budget::limits retries;
-    std::uint64_t seed = 1; ///< of the choices between equals
+    shared_retry_budget::limits retries;
+    std::uint64_t seed = 1; ///< of random choices between equally good targets
 };
 
 struct adapter_demand
 {
-    instant askedAt{}; ///< last
+    instant askedAt{}; ///< time of the last request
     std::uint32_t running = 0;
 };
 
-/// What a VM's requests ask for: arrivals since its start, and what waits and runs now.
+/// Demand for one model at this VM: arrivals since its start, and requests queued and running now.
 struct model_demand
 {
     std::uint64_t arrivals = 0;
@@ -96,10 +96,10 @@
     gateway(asio::io_context &loop, gateway_options options, dialect_calls dialect, decision_log &log, metrics_registry &metrics);
     ~gateway();
 
-    /// A whole request came on \p caller.
+    /// Handles a complete request received on \p caller.
     void submit(const std::shared_ptr<caller_link> &caller, received_request request);
 
-    /// An older version than the one in force changes nothing. \return whether it is in force now.
+    /// Applies \p configuration unless its version isn't newer than the current one. \return whether it was applied.
     bool configure(gateway_configuration configuration);
     bool isConfigured() const
     {
@@ -116,85 +116,85 @@
         return m_pool;
     }
 
-    /// This VM stops: what isn't sure to be over by the plan's end is refused as not run, so that its caller goes to
-    /// another VM at once.
-    void stopBy(const stop_plan &plan);
+    /// Starts the shutdown of this VM: requests that aren't expected to finish by the plan's end are refused as not run,
+    /// so that their callers can retry at another VM at once.
+    void setStopPlan(const stop_plan &plan);
 
-    /// Answers what is still open and hasn't begun to be answered; streams under way are broken off.
-    void endOpen();
+    /// Refuses or fails all open requests; aborts started streams.
+    void abortOpenRequests();
 
-    /// Something changed that may let queued requests go.
-    void pump();
+    /// Sends queued requests to targets with room; to be called after a change that may have made room.
+    void dispatchQueued();
 
     void setLiveVms(std::size_t live);
 
-    /// Called when a request waits for an adapter that no target with room holds.
-    void onWantedAdapter(std::function<void(const adapter_want &)> callback)
+    /// Sets the callback for a request whose adapter isn't resident at any target with room.
+    void onAdapterMiss(std::function<void(const adapter_want &)> callback)
     {
-        m_onWantedAdapter = std::move(callback);
+        m_onAdapterMiss = std::move(callback);
     }
 
-    /// Asked how long it takes until some VM orders what targets hold; 0 unless set.
-    void setTimeToOrders(std::function<milliseconds()> ask)
+    /// Sets the function that returns the time until some VM can order targets to load models; 0 if none is set.
+    void setTimeUntilOrders(std::function<milliseconds()> callback)
     {
-        m_timeToOrders = std::move(ask);
+        m_timeUntilOrders = std::move(callback);
     }
 
-    /// Called when what this VM has in flight changed, so that peers hear of it before they choose for their next ones.
+    /// Sets the callback for changes of this VM's in-flight requests, so that peers learn of them before their next choice.
     void onFlights(std::function<void()> callback)
     {
-        m_onFlights = std::move(callback);
+        m_onInFlightChanged = std::move(callback);
     }
 
-    /// Called with a target whose host refused a connection, when that is news here.
+    /// Sets the callback for a target whose host refused a connection, if that wasn't known here yet.
     void onUnreachable(std::function<void(const target_id &)> callback)
     {
         m_onUnreachable = std::move(callback);
     }
-    /// The host of \p target refused a connection.
+    /// Records that the host of \p target refused a connection.
     void noteUnreachable(const target_id &target);
 
-    /// For the digest: models with anything new, and the adapters asked for since \p since.
+    /// Entries for the gossip digest: models with queued or running requests, and adapters that run or were requested
+    /// after \p since.
     std::vector<demand_entry> demandSince(instant since) const;
 
     const gateway_counters &counters() const
     {
         return m_counters;
     }
-    /// Brings the gauges up to date.
-    void measure();
+    void updateGauges();
 
     std::size_t openRequests() const
     {
-        return m_open;
+        return m_openCount;
     }
 
 private:
     friend class exchange;
 
-    void enqueue(const std::shared_ptr<exchange> &one);
-    void noteFlights();
-    void forget(exchange &one);
-    pool_verdict tryDispatch(exchange &one);
-    /// What can't meet its objective any more goes behind what can.
+    void enqueue(const std::shared_ptr<exchange> &ex);
+    void notifyInFlightChanged();
+    void onExchangeDone(exchange &ex);
+    pool_verdict tryDispatch(exchange &ex);
+    /// Moves queued requests that can no longer meet their objective behind those that can.
     void demoteLate(instant now);
-    void refuseUnreachable(instant now);
-    /// \p one waits and can't start in time, or its time is over.
-    void refuseLate(instant now, exchange &one);
-    /// What waits and would not be over before this VM ends. What finds a place is compared where it is sent.
+    void refuseUnstartable(instant now);
+    /// Refuses queued request \p ex, which can't start in time or is past its queue deadline; fails it if it may have run.
+    void refuseQueued(instant now, exchange &ex);
+    /// Refuses queued requests that can't finish before this VM stops. Requests that get a target are checked on dispatch.
     void refuseUnfinishable(instant now);
-    /// What \p one would take, by the runs of its route of late; on the long side.
-    milliseconds expectedRun(instant now, const exchange &one) const;
-    /// Whether \p one, sent at \p now, is over before this VM ends.
-    bool endsBeforeStop(instant now, const exchange &one) const;
-    /// Whether \p one is not to be begun any more, since this VM ends before it could.
-    bool isUnfinishable(instant now, const exchange &one) const;
-    /// While this VM stops: what \p one would take, and the time left.
-    void addStopFacts(log_line &line, instant now, const exchange &one) const;
-    /// Requests in \p lanes, whose model or adapter no target holds, when nobody can order it in time.
-    void refuseUnheld(instant now, const std::set<lane_key> &lanes);
+    /// Conservative estimate of the duration of \p ex, from recent requests of its route.
+    milliseconds expectedRun(instant now, const exchange &ex) const;
+    /// Whether \p ex, if sent at \p now, is expected to finish before this VM stops.
+    bool endsBeforeStop(instant now, const exchange &ex) const;
+    /// Whether \p ex must not be started, since it isn't expected to finish before this VM stops.
+    bool isUnfinishable(instant now, const exchange &ex) const;
+    /// While this VM stops, adds the estimated duration of \p ex and the time left.
+    void addShutdownFields(log_line &line, instant now, const exchange &ex) const;
+    /// Refuses requests in \p lanes, whose model or adapter isn't resident at any target, if it can't be ordered in time.
+    void refuseNotResident(instant now, const std::set<lane_key> &lanes);
     void armQueueTimer();
-    shared_budget &budgetOf(const service_id &service);
+    shared_retry_budget &retryBudgetFor(const service_id &service);
 
     asio::io_context &m_loop;
     gateway_options m_options;
@@ -206,23 +206,23 @@
     target_pool m_pool;
     link_pool m_links;
     admission_queue m_queue;
-    std::map<request_id, std::shared_ptr<exchange>> m_queued; ///< by the serial that the queue knows
-    std::map<request_id, std::weak_ptr<exchange>> m_openExchanges; ///< by serial; not answered yet
-    std::map<std::string, run_meter> m_runs; ///< by route
-    std::map<model_id, pace_meter> m_paces; ///< of the models that engines serve
-    std::map<service_id, shared_budget> m_budgets;
+    std::map<request_id, std::shared_ptr<exchange>> m_queued; ///< by serial
+    std::map<request_id, std::weak_ptr<exchange>> m_openExchanges; ///< by serial; not completed yet
+    std::map<std::string, run_meter> m_runMeters; ///< by route
+    std::map<model_id, pace_meter> m_paceMeters; ///< by model; engines only
+    std::map<service_id, shared_retry_budget> m_budgets;
     std::map<model_id, model_demand> m_demand;
-    std::function<void(const adapter_want &)> m_onWantedAdapter;
-    std::function<void()> m_onFlights;
+    std::function<void(const adapter_want &)> m_onAdapterMiss;
+    std::function<void()> m_onInFlightChanged;
     std::function<void(const target_id &)> m_onUnreachable;
-    std::function<milliseconds()> m_timeToOrders;
+    std::function<milliseconds()> m_timeUntilOrders;
     asio::steady_timer m_queueTimer;
     bool m_queueTimerArmed = false;
-    stop_plan m_stop; ///< far in the future unless this VM stops
-    bool m_pumping = false;
-    bool m_pumpAgain = false;
+    stop_plan m_stopPlan; ///< far in the future unless this VM is stopping
+    bool m_dispatching = false;
+    bool m_dispatchAgain = false;
     std::size_t m_liveVms = 1;
-    std::size_t m_open = 0;
+    std::size_t m_openCount = 0;
     std::uint64_t m_serial = 0;
     std::mt19937_64 m_random;
     gateway_counters m_counters;
--- a/packages/gateway/include/fuchsialoom/gateway/request_facts.h
+++ b/packages/gateway/include/fuchsialoom/gateway/request_facts.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the gateway reads out of a request and of a target's answer, and what it adds to an attempt.
-/// The names of the headers are an adapter's: a `request_dialect`.
+/// The data that the gateway reads from requests and targets' answers, and adds to attempts. A `request_dialect` maps
+/// it to and from headers.
 #pragma once
 
 #include "fuchsialoom/http/answer_reader.h"
@@ -19,44 +19,44 @@
 
 struct request_facts
 {
-    request_id id; ///< empty when the caller sent none
-    std::optional<milliseconds> patience; ///< how long the caller waits, counted from its send
+    request_id id; ///< empty if the caller sent none
+    std::optional<milliseconds> callerTimeout; ///< counted from when the caller sent the request
     model_id model; ///< empty for plain services
-    adapter_id adapter; ///< empty when none is used
+    adapter_id adapter; ///< empty if none is used
     std::uint32_t promptTokens = 0;
-    std::uint32_t mostOutputTokens = 0;
+    std::uint32_t maxOutputTokens = 0;
     std::optional<std::uint32_t> outputTokensHint; ///< the caller's estimate
-    std::optional<std::uint64_t> resumeAfter; ///< the last event that the caller has
+    std::optional<std::uint64_t> resumeAfter; ///< id of the last event that the caller has received
 };
 
-/// What one attempt carries beside the caller's own headers.
+/// What is sent with an attempt in addition to the caller's headers.
 struct attempt_facts
 {
     milliseconds timeLeft{0};
-    target_id target; ///< any other process at the address refuses the request
+    target_id target; ///< any other process at its address refuses the request
     int urgency = 0; ///< the route's rank
     bool isEngine = false;
-    std::optional<std::uint64_t> resumeAfter; ///< the last event that was passed on
+    std::optional<std::uint64_t> resumeAfter; ///< id of the last event relayed to the caller
 };
 
 struct answer_facts
 {
-    request_id answers; ///< the request it names; empty when it names none
-    bool notRun = false; ///< the target says that it didn't run the request, and won't
+    request_id answers; ///< the request that the answer names; empty if none
+    bool notRun = false; ///< the target states that it didn't run the request and won't
     bool signedByTarget = false;
-    bool otherTarget = false; ///< another process has the address, or what was asked for isn't there
-    bool displaced = false; ///< another process has the address, by its own word
+    bool wrongTarget = false; ///< another process uses the address, or the requested model isn't resident
+    bool displaced = false; ///< the answer names another process at the address
 };
 
-/// How an adapter reads and writes headers; all calls are pure.
+/// The functions of a `request_dialect`; none has side effects beyond its arguments.
 struct dialect_calls
 {
     request_facts (*readRequest)(const received_request &);
-    /// \p asked: the target that the request was for.
+    /// \p asked: the target that the request was sent to.
     answer_facts (*readAnswer)(const answer_head &, const target_id &asked);
-    /// Drops what a caller must not set, and adds what \p attempt says.
+    /// Removes headers that a caller must not set, and adds those for \p attempt.
     void (*writeAttempt)(header_list &, const attempt_facts &attempt);
-    /// Puts the time after which a refused caller may come back.
+    /// Adds the time after which a refused caller may retry.
     void (*writeRetryAfter)(header_list &, milliseconds after);
 };
 
@@ -74,7 +74,7 @@
     Dialect::writeRetryAfter(headers, milliseconds(0));
 };
 
-/// The calls of \p Dialect, so that the request path needn't be a template.
+/// The functions of \p Dialect, as pointers so that the request path needn't be a template.
 template<request_dialect Dialect>
 constexpr dialect_calls callsOf()
 {
--- a/packages/gateway/include/fuchsialoom/gateway/retry_rules.h
+++ b/packages/gateway/include/fuchsialoom/gateway/retry_rules.h
@@ -1,5 +1,5 @@
 /// \file
-/// What follows an attempt that brought no good answer. Pure.
+/// Decides what follows an attempt without a successful answer, and limits retries.
 #pragma once
 
 #include "fuchsialoom/support/name_table.h"
@@ -12,11 +12,11 @@
 {
 
 enum class attempt_outcome {
-    NotSent, ///< no byte can have reached the target
-    NotRun, ///< the target says that it didn't run the request, and won't
+    NotSent, ///< no byte reached the target
+    NotRun, ///< the target states that it didn't run the request and won't
     Failed, ///< the target ran it and answered with a server error
-    Broken, ///< it was sent, and no whole answer came: it may have run
-    Silent, ///< it was sent, and nothing has come for longer than a sound target takes
+    Broken, ///< sent, but no complete answer arrived; the request may have run
+    Silent, ///< sent, but the target stalled; the request may have run
 };
 
 template<>
@@ -33,9 +33,9 @@
 
 enum class retry_step {
     TryElsewhere,
-    Refuse, ///< tell the caller that it has not run, and when to come back
-    PassOn, ///< the target's own answer goes to the caller
-    Fail, ///< tell the caller that nothing is known
+    Refuse, ///< tells the caller that the request hasn't run, and when to retry
+    PassOn, ///< relays the target's answer to the caller
+    Fail, ///< tells the caller that the outcome is unknown
 };
 
 template<>
@@ -52,20 +52,18 @@
 struct attempt_history
 {
     bool repeatable = false; ///< may run more than once
-    /// Some attempt of this request may have run, or may run yet.
-    bool mayHaveRun = false;
-    std::uint32_t sentTo = 0; ///< targets that it was sent to
-    std::uint32_t attempts = 1; ///< targets that it may be sent to
-    std::uint32_t unsentTries = 0; ///< targets that couldn't be reached
+    bool mayHaveRun = false; ///< some attempt may have run, or may still run
+    std::uint32_t targetsTried = 0; ///< number of targets it was sent to
+    std::uint32_t attempts = 1; ///< maximum number of targets it may be sent to
+    std::uint32_t connectFailures = 0; ///< attempts that failed before anything was sent
 };
 
-/// \p budget: the shared budget allows one more arrival.
-retry_step afterAttempt(attempt_outcome outcome, const attempt_history &history, bool budget);
+/// \p budgetAllows: the shared retry budget allows one more retry.
+retry_step nextStep(attempt_outcome outcome, const attempt_history &history, bool budgetAllows);
 
-/// The part of one VM in a limit on repeated arrivals that holds over all VMs together: a share of the
-/// requests of a window, plus a fixed number. Each VM takes its own requests' share, and of the fixed
-/// number the part that the live VMs leave it.
-class shared_budget
+/// One VM's part of a retry limit for all VMs together: in a sliding window, a ratio of the requests plus a fixed number
+/// (slack). Each VM may use the ratio of its own requests and an equal part of the slack.
+class shared_retry_budget
 {
 public:
     struct limits
@@ -76,25 +74,25 @@
     };
 
     void setLimits(limits allowed);
-    void setVms(std::size_t live);
+    void setLiveVmCount(std::size_t live);
 
     void countRequest(instant now);
     bool allows(instant now);
-    void countRepeat(instant now);
+    void countRetry(instant now);
 
 private:
     struct bucket
     {
         instant from{};
         std::uint32_t requests = 0;
-        std::uint32_t repeats = 0;
+        std::uint32_t retries = 0;
     };
 
     bucket &current(instant now);
 
     limits m_limits;
     std::size_t m_vms = 1;
-    std::deque<bucket> m_buckets; ///< oldest first; covers a window and a bucket more
+    std::deque<bucket> m_buckets; ///< oldest first; covers the window and one more bucket
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/routes.h
+++ b/packages/gateway/include/fuchsialoom/gateway/routes.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the operator's configuration says of requests: which host and path belongs to which service,
-/// and how its requests may be treated.
+/// The operator's configuration of requests: which service handles which host and path, and the deadlines, priorities
+/// and retry limits of its requests.
 #pragma once
 
 #include "fuchsialoom/http/caller_link.h"
@@ -34,7 +34,7 @@
     });
 };
 
-/// A part of a route's traffic.
+/// A service's share of a route's traffic.
 struct service_share
 {
     service_id service;
@@ -43,20 +43,20 @@
     friend bool operator==(const service_share &, const service_share &) = default;
 };
 
-/// Durations here are the operator's settings; each request makes deadlines of them.
+/// Durations are the operator's settings, from which the deadlines of each request are computed.
 struct route
 {
     std::string name;
     std::string host;
-    std::string prefix; ///< begins and ends with a slash
+    std::string prefix; ///< of the path; begins and ends with a slash
     request_kind kind = request_kind::NonIdempotent;
     std::vector<service_share> services; ///< at least one; weights sum to more than 0
-    milliseconds timeout{0}; ///< longest time that the operator wants a caller kept waiting; 0: none
-    milliseconds objective{0}; ///< an answer (a stream's first event) within it earns its full credit
-    milliseconds gapObjective{0}; ///< longest pause between a stream's events that is still on time
-    std::uint32_t attempts = 1; ///< targets that one request may be sent to
+    milliseconds timeout{0}; ///< limit on the time until the answer (or a stream's first event); 0: none
+    milliseconds objective{0}; ///< latency objective of an answer, or of a stream's first event
+    milliseconds gapObjective{0}; ///< latency objective of the gap between a stream's events
+    std::uint32_t attempts = 1; ///< maximum number of targets that one request may be sent to
     int rank = 0; ///< 0 is the most urgent
-    bool resumable = false; ///< a stream may go on at another target from a given event
+    bool resumable = false; ///< a stream may be resumed at another target after a given event
 
     /// Whether a request may run more than once.
     bool isRepeatable() const
@@ -80,23 +80,23 @@
     friend bool operator==(const served_model &, const served_model &) = default;
 };
 
-/// The adapter of that number, from 1 on.
-adapter_id adapterAt(std::uint32_t number);
+/// Id of adapter \p number, counted from 1.
+adapter_id numberedAdapter(std::uint32_t number);
 
-/// What every engine of a service can hold and do.
+/// Capacity and models of each engine of a service.
 struct engine_traits
 {
     std::uint32_t slots = 1;
     std::uint64_t cacheTokens = 0;
-    double megabytes = 0; ///< for weights and adapters together
+    double megabytes = 0; ///< memory for weights and adapters together
     std::uint32_t adapterSlots = 0;
-    double loadsPerSecond = 0; ///< that the weight store allows over all engines
+    double loadsPerSecond = 0; ///< limit of the weight store for all engines together
     std::vector<served_model> models;
 
-    /// Whether the service has \p model, and \p adapter of it where one is named.
+    /// Whether the service has \p model and, unless empty, its \p adapter.
     bool serves(const model_id &model, const adapter_id &adapter) const;
 
-    /// Null for a model that the service hasn't.
+    /// Null if the service doesn't have \p model.
     const served_model *find(const model_id &model) const;
 
     friend bool operator==(const engine_traits &, const engine_traits &) = default;
@@ -105,15 +105,15 @@
 struct service_traits
 {
     std::string healthPath;
-    std::uint32_t maxConnections = 100; ///< that a target takes from all callers together
-    std::optional<engine_traits> engine; ///< nothing: a plain service
+    std::uint32_t maxConnections = 100; ///< limit of a target for all callers together
+    std::optional<engine_traits> engine; ///< unset for a plain service
 
     friend bool operator==(const service_traits &, const service_traits &) = default;
 };
 
 struct gateway_configuration
 {
-    std::uint64_t version = 0; ///< grows with every change
+    std::uint64_t version = 0; ///< increases with each change
     std::vector<route> routes;
     std::map<service_id, service_traits> services;
     caller_limits limits;
@@ -125,18 +125,18 @@
 public:
     void assign(std::vector<route> routes);
 
-    /// The route of \p host (a port behind it doesn't count) with the longest prefix of \p path, or null.
-    /// The pointer holds until the next assign().
+    /// Returns the route of \p host (its port is ignored) with the longest prefix of \p path, or null.
+    /// The pointer is valid until the next assign().
     const route *find(std::string_view host, std::string_view path) const;
 
     std::size_t size() const;
 
 private:
-    /// By host, in lower case; the routes of a host by descending length of prefix.
+    /// Keyed by host in lower case; the routes of a host are sorted by descending prefix length.
     std::map<std::string, std::vector<route>, std::less<>> m_hosts;
 };
 
-/// The service for a request: \p draw is any number, its remainder chooses by weight.
-const service_id &chooseService(const route &of, std::uint64_t draw);
+/// Chooses a service by weight. \p draw: a random number, reduced modulo the sum of the weights.
+const service_id &chooseService(const route &matched, std::uint64_t draw);
 
 } // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/waiting_rules.h
+++ b/packages/gateway/include/fuchsialoom/gateway/waiting_rules.h
@@ -1,10 +1,10 @@
 /// \file
-/// How long a request may wait for a target, and in which order waiting requests go. Pure.
+/// Deadlines and queue priorities of requests that wait for a target. Pure functions.
 ///
-/// Under more load than the targets take, first come first served makes every request late: each waits as
-/// long as the backlog lasts. So those that can still meet their objective go first, and what is late already
-/// goes behind them until its caller would leave. At twice the load that a target takes, that serves most of
-/// what it takes on time instead of next to nothing (waiting_rules_test plays both).
+/// Under overload, first come, first served makes every request late, since each waits for the whole backlog. So
+/// requests that can still meet their objective go first; late ones follow, until their callers would disconnect. At
+/// twice a target's capacity, most of what it serves is then on time instead of next to nothing (waiting_rules_test
+/// simulates both).
 #pragma once
 
 #include "fuchsialoom/gateway/routes.h"
@@ -12,21 +12,21 @@
 namespace fuchsialoom
 {
 
-struct waiting_bounds
+struct request_deadlines
 {
-    instant patience; ///< the caller waits no longer
-    instant answerUntil; ///< and the operator wants no answer later than this
-    instant objectiveUntil; ///< sent by then, it can still earn its full credit
-    instant queueUntil; ///< not sent by then, its caller leaves before the first event comes
+    instant callerDeadline; ///< the caller's timeout expires
+    instant answerDeadline; ///< callerDeadline, or the route's timeout if that is earlier
+    instant objectiveDeadline; ///< latest send that can still meet the objective
+    instant queueDeadline; ///< latest send; after it, a stream's caller would disconnect before the first event
 };
 
-/// For a request of \p of that came at \p arrivedAt from a caller who waits \p patience from then on.
-waiting_bounds waitingBoundsOf(const route &of, instant arrivedAt, milliseconds patience);
+/// For a request of route \p matched that arrived at \p arrivedAt and that its caller abandons \p callerTimeout later.
+request_deadlines computeDeadlines(const route &matched, instant arrivedAt, milliseconds callerTimeout);
 
-/// Priority of a stream that broke midway and goes on at another target: before all that haven't begun.
-inline constexpr int continuedPriority = -1;
+/// Queue priority of a broken stream that is to resume at another target: ahead of all requests that haven't started.
+inline constexpr int resumedStreamPriority = -1;
 
-/// The queue's priority, 0 first: by rank among those on time, then by rank among the late.
-int waitingPriority(int rank, bool late);
+/// Queue priority; lower values go first. Orders by rank, with late requests after all others.
+int queuePriority(int rank, bool late);
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/event_scanner.cpp
+++ b/packages/gateway/lib/event_scanner.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whole events out of a stream of bytes.
+/// Splits a byte stream into events.
 #include "fuchsialoom/gateway/event_scanner.h"
 
 #include <charconv>
@@ -9,7 +9,7 @@
 
 static constexpr std::string_view idField = "id:";
 
-/// The number in the event's id line, or nothing.
+/// The number in the event's id field, if any.
 static std::optional<std::uint64_t> idOf(std::string_view event)
 {
     while (!event.empty()) {
@@ -29,7 +29,7 @@
     return std::nullopt;
 }
 
-/// Length of the first event in \p text with the empty line that ends it; 0 when it isn't whole.
+/// Length of the first event in \p text, including the empty line that ends it; 0 if it is incomplete.
 static std::size_t eventLength(std::string_view text)
 {
     const std::size_t plain = text.find("\n\n");
@@ -43,7 +43,7 @@
 bool event_scanner::accept(std::string_view event)
 {
     const std::optional<std::uint64_t> id = idOf(event);
-    if (id && m_continued && m_lastId && *id <= *m_lastId) {
+    if (id && m_isResumed && m_lastId && *id <= *m_lastId) {
         return false;
     }
     if (id) {
@@ -72,7 +72,7 @@
 void event_scanner::restart()
 {
     m_rest.clear();
-    m_continued = true;
+    m_isResumed = true;
 }
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/residency_adapters.cpp
+++ b/packages/gateway/lib/residency_adapters.cpp
@@ -192,7 +192,7 @@
             continue;
         }
         for (std::uint32_t number = 1; number <= model->adapters; ++number) {
-            const adapter_key key(held.model, adapterAt(number));
+            const adapter_key key(held.model, numberedAdapter(number));
             if (held.adapters.contains(key.second) || at.departing.contains(key)) {
                 continue;
             }
--- a/packages/gateway/lib/retry_rules.cpp
+++ b/packages/gateway/lib/retry_rules.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Retries.
+/// Retry decisions and the shared retry budget.
 #include "fuchsialoom/gateway/retry_rules.h"
 
 #include <algorithm>
@@ -7,48 +7,47 @@
 namespace fuchsialoom
 {
 
-/// Targets that refuse connections cost a millisecond each; after so many the caller is told to come back.
-static constexpr std::uint32_t mostUnsentTries = 4;
-/// The window is counted in so many buckets.
+/// A target that refuses connections costs about 1 ms; after this many, the request is refused.
+static constexpr std::uint32_t maxConnectFailures = 4;
 static constexpr int bucketsPerWindow = 20;
-/// Of the shared fixed number, what the VMs take together: the rest covers that they disagree on how
-/// many live, and the edges of buckets.
-static constexpr double slackTaken = 0.7;
+/// Share of the limit that the VMs use; the rest covers their differing views of the number of live VMs, and the
+/// resolution of the buckets.
+static constexpr double usableShare = 0.7;
 
-retry_step afterAttempt(attempt_outcome outcome, const attempt_history &history, bool budget)
+retry_step nextStep(attempt_outcome outcome, const attempt_history &history, bool budgetAllows)
 {
-    const bool attemptsLeft = history.sentTo < history.attempts;
+    const bool attemptsLeft = history.targetsTried < history.attempts;
     switch (outcome) {
     case attempt_outcome::NotSent:
-        if (history.unsentTries < mostUnsentTries) {
+        if (history.connectFailures < maxConnectFailures) {
             return retry_step::TryElsewhere;
         }
         break;
     case attempt_outcome::NotRun:
-        if (attemptsLeft && budget) {
+        if (attemptsLeft && budgetAllows) {
             return retry_step::TryElsewhere;
         }
         break;
     case attempt_outcome::Failed:
-        return history.repeatable && attemptsLeft && budget ? retry_step::TryElsewhere : retry_step::PassOn;
+        return history.repeatable && attemptsLeft && budgetAllows ? retry_step::TryElsewhere : retry_step::PassOn;
     case attempt_outcome::Broken:
     case attempt_outcome::Silent:
-        return history.repeatable && attemptsLeft && budget ? retry_step::TryElsewhere : retry_step::Fail;
+        return history.repeatable && attemptsLeft && budgetAllows ? retry_step::TryElsewhere : retry_step::Fail;
     }
     return history.mayHaveRun ? retry_step::Fail : retry_step::Refuse;
 }
 
-void shared_budget::setLimits(limits allowed)
+void shared_retry_budget::setLimits(limits allowed)
 {
     m_limits = allowed;
 }
 
-void shared_budget::setVms(std::size_t live)
+void shared_retry_budget::setLiveVmCount(std::size_t live)
 {
     m_vms = std::max<std::size_t>(1, live);
 }
 
-shared_budget::bucket &shared_budget::current(instant now)
+shared_retry_budget::bucket &shared_retry_budget::current(instant now)
 {
     const auto length = m_limits.window / bucketsPerWindow;
     while (!m_buckets.empty() && now - m_buckets.front().from > m_limits.window + length) {
@@ -60,29 +59,29 @@
     return m_buckets.back();
 }
 
-void shared_budget::countRequest(instant now)
+void shared_retry_budget::countRequest(instant now)
 {
     current(now).requests += 1;
 }
 
-void shared_budget::countRepeat(instant now)
+void shared_retry_budget::countRetry(instant now)
 {
-    current(now).repeats += 1;
+    current(now).retries += 1;
 }
 
-bool shared_budget::allows(instant now)
+bool shared_retry_budget::allows(instant now)
 {
     current(now);
     double requests = 0;
-    double repeats = 0;
-    for (const bucket &one : m_buckets) {
-        requests += one.requests;
-        repeats += one.repeats;
+    double retries = 0;
+    for (const bucket &counted : m_buckets) {
+        requests += counted.requests;
+        retries += counted.retries;
     }
-    // All of the ratio can't be spent: the requests of this window are counted as they come, the
-    // repeats of any window that slides over them as well.
-    const double allowed = slackTaken * (m_limits.ratio * requests + m_limits.slack / static_cast<double>(m_vms));
-    return repeats + 1 <= allowed;
+    // The ratio can't be used in full either: requests count as they arrive, and the limit has to hold for every
+    // window that slides over the retries.
+    const double allowed = usableShare * (m_limits.ratio * requests + m_limits.slack / static_cast<double>(m_vms));
+    return retries + 1 <= allowed;
 }
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/routes.cpp
+++ b/packages/gateway/lib/routes.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Routes by host and path.
+/// Route lookup by host and path, and choice of a service by weight.
 #include "fuchsialoom/gateway/routes.h"
 
 #include <algorithm>
@@ -29,7 +29,7 @@
     return parsed.ptr == end && parsed.ec == std::errc() && number >= 1 && number <= model.adapters && name[1] != '0';
 }
 
-adapter_id adapterAt(std::uint32_t number)
+adapter_id numberedAdapter(std::uint32_t number)
 {
     std::string name = std::to_string(number);
     name.insert(name.begin(), 'a');
@@ -44,8 +44,8 @@
 
 const served_model *engine_traits::find(const model_id &model) const
 {
-    const auto found = std::find_if(models.begin(), models.end(), [&model](const served_model &one) {
-        return one.model == model;
+    const auto found = std::find_if(models.begin(), models.end(), [&model](const served_model &candidate) {
+        return candidate.model == model;
     });
     return found == models.end() ? nullptr : &*found;
 }
@@ -53,11 +53,11 @@
 void route_table::assign(std::vector<route> routes)
 {
     m_hosts.clear();
-    for (route &one : routes) {
-        m_hosts[lowerCased(one.host)].push_back(std::move(one));
+    for (route &added : routes) {
+        m_hosts[lowerCased(added.host)].push_back(std::move(added));
     }
-    for (auto &[host, ofHost] : m_hosts) {
-        std::stable_sort(ofHost.begin(), ofHost.end(), [](const route &left, const route &right) {
+    for (auto &[host, hostRoutes] : m_hosts) {
+        std::stable_sort(hostRoutes.begin(), hostRoutes.end(), [](const route &left, const route &right) {
             return left.prefix.size() > right.prefix.size();
         });
     }
@@ -70,9 +70,9 @@
     if (found == m_hosts.end()) {
         return nullptr;
     }
-    for (const route &one : found->second) {
-        if (path.starts_with(one.prefix)) {
-            return &one;
+    for (const route &candidate : found->second) {
+        if (path.starts_with(candidate.prefix)) {
+            return &candidate;
         }
     }
     return nullptr;
@@ -81,27 +81,27 @@
 std::size_t route_table::size() const
 {
     std::size_t count = 0;
-    for (const auto &[host, ofHost] : m_hosts) {
-        count += ofHost.size();
+    for (const auto &[host, hostRoutes] : m_hosts) {
+        count += hostRoutes.size();
     }
     return count;
 }
 
-const service_id &chooseService(const route &of, std::uint64_t draw)
+const service_id &chooseService(const route &matched, std::uint64_t draw)
 {
-    assert(!of.services.empty());
-    std::uint64_t sum = 0;
-    for (const service_share &share : of.services) {
-        sum += share.weight;
+    assert(!matched.services.empty());
+    std::uint64_t totalWeight = 0;
+    for (const service_share &share : matched.services) {
+        totalWeight += share.weight;
     }
-    std::uint64_t rest = sum > 0 ? draw % sum : 0;
-    for (const service_share &share : of.services) {
-        if (rest < share.weight) {
+    std::uint64_t remainder = totalWeight > 0 ? draw % totalWeight : 0;
+    for (const service_share &share : matched.services) {
+        if (remainder < share.weight) {
             return share.service;
         }
-        rest -= share.weight;
+        remainder -= share.weight;
     }
-    return of.services.back().service;
+    return matched.services.back().service;
 }
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/waiting_rules.cpp
+++ b/packages/gateway/lib/waiting_rules.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Waiting requests.
+/// Deadlines and queue priorities of requests.
 #include "fuchsialoom/gateway/waiting_rules.h"
 
 #include <algorithm>
@@ -7,33 +7,37 @@
 namespace fuchsialoom
 {
 
-/// From the send of a request to its first event at an engine that has room: half of them take 40 ms.
-static constexpr milliseconds firstEventTime{60};
-/// Callers give a stream up that shows no event for the longest of these.
-static constexpr milliseconds streamPatience{2000};
-static constexpr int patientObjectives = 4;
-static constexpr int patientGaps = 8;
-/// Refused so long before its caller would leave, a request can still come back; one that is sent later is
-/// likely worked on for nobody.
-static constexpr milliseconds leaveMargin{150};
-/// Added to the rank of what is late already: an answer in time is worth more than three late ones.
-static constexpr int lateRank = 100;
+/// From the send of a request to its first event, at an engine with room; the median is 40 ms.
+static constexpr milliseconds expectedFirstEventDelay{60};
+/// Callers abandon a stream without an event after the longest of these: a fixed time, and multiples of the objective
+/// and of the gap objective.
+static constexpr milliseconds minStreamAbandonTime{2000};
+static constexpr int streamAbandonObjectives = 4;
+static constexpr int streamAbandonGaps = 8;
+/// Streams are refused this long before their callers would disconnect, so that they can still retry; a request sent
+/// later than that is likely to run for a caller who is gone.
+static constexpr milliseconds retryMargin{150};
+/// Added to the rank of late requests: an answer on time is worth more than three late ones.
+static constexpr int latePenalty = 100;
 
-waiting_bounds waitingBoundsOf(const route &of, instant arrivedAt, milliseconds patience)
+request_deadlines computeDeadlines(const route &matched, instant arrivedAt, milliseconds callerTimeout)
 {
-    waiting_bounds bounds;
-    bounds.patience = arrivedAt + patience;
-    bounds.answerUntil = of.timeout > milliseconds(0) ? std::min(bounds.patience, arrivedAt + of.timeout) : bounds.patience;
-    bounds.objectiveUntil = arrivedAt + std::max(milliseconds(0), of.objective - firstEventTime);
-    const milliseconds gives = std::max({streamPatience, patientObjectives * of.objective, patientGaps * of.gapObjective});
-    const bool stream = of.kind == request_kind::Stream;
-    bounds.queueUntil = stream ? std::min(bounds.answerUntil, arrivedAt + gives - leaveMargin) : bounds.answerUntil;
-    return bounds;
+    request_deadlines deadlines;
+    deadlines.callerDeadline = arrivedAt + callerTimeout;
+    deadlines.answerDeadline =
+        matched.timeout > milliseconds(0) ? std::min(deadlines.callerDeadline, arrivedAt + matched.timeout) : deadlines.callerDeadline;
+    deadlines.objectiveDeadline = arrivedAt + std::max(milliseconds(0), matched.objective - expectedFirstEventDelay);
+    const milliseconds abandonAfter =
+        std::max({minStreamAbandonTime, streamAbandonObjectives * matched.objective, streamAbandonGaps * matched.gapObjective});
+    const bool isStream = matched.kind == request_kind::Stream;
+    deadlines.queueDeadline =
+        isStream ? std::min(deadlines.answerDeadline, arrivedAt + abandonAfter - retryMargin) : deadlines.answerDeadline;
+    return deadlines;
 }
 
-int waitingPriority(int rank, bool late)
+int queuePriority(int rank, bool late)
 {
-    return rank + (late ? lateRank : 0);
+    return rank + (late ? latePenalty : 0);
 }
 
 } // namespace fuchsialoom
--- a/packages/gateway/unittests/decision_log_test.cpp
+++ b/packages/gateway/unittests/decision_log_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Lines are whole, bounded, and never block.
+/// Tests that log lines are well-formed and bounded, and that writing never blocks.
 #include "fuchsialoom/gateway/decision_log.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
         return text;
     }
 
-    /// Everything that the log still has to write.
+    /// Flushes the log and reads until nothing more comes.
     std::string readAll(decision_log &log) const
     {
         std::string text;
@@ -52,7 +52,7 @@
     std::array<int, 2> m_ends{};
 };
 
-TEST_F(decision_log_test, aLineIsOneLineWhateverItsValues)
+TEST_F(decision_log_test, anyValueStaysWithinItsLine)
 {
     decision_log log(m_ends[1], "vm-1");
     log.write(start, log_line("refused", request_id("a b\nc")).with("n", 3).with("text", "x\"y"));
@@ -62,7 +62,7 @@
     EXPECT_EQ(std::count(text.begin(), text.end(), '\n'), 1);
 }
 
-TEST_F(decision_log_test, aReaderThatStopsBlocksNothing)
+TEST_F(decision_log_test, stalledReaderDoesNotBlock)
 {
     decision_log log(m_ends[1], "vm-1");
     for (int line = 0; line < 20000; ++line) {
@@ -75,7 +75,7 @@
     EXPECT_NE(readAll(log).find("event=log-dropped"), std::string::npos);
 }
 
-TEST_F(decision_log_test, aFloodOfRequestsIsCutAndCounted)
+TEST_F(decision_log_test, floodOfRequestLinesIsDroppedAndCounted)
 {
     decision_log log(m_ends[1], "vm-1");
     for (int line = 0; line < 5000; ++line) {
--- a/packages/gateway/unittests/event_scanner_test.cpp
+++ b/packages/gateway/unittests/event_scanner_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Only whole events go on, and a continued stream has no event twice.
+/// Tests that only complete events are relayed, and that a resumed stream repeats none.
 #include "fuchsialoom/gateway/event_scanner.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace fuchsialoom
 {
 
-TEST(event_scanner, passesWholeEventsHoweverTheyAreCut)
+TEST(event_scanner, relaysCompleteEventsForAnyChunkSize)
 {
     const std::string text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid:3\r\ndata: c\r\n\r\nid: 4\nda";
     for (std::size_t size = 1; size <= text.size(); ++size) {
@@ -23,7 +23,7 @@
     }
 }
 
-TEST(event_scanner, aContinuedStreamLeavesOutWhatTheCallerHas)
+TEST(event_scanner, resumedStreamOmitsEventsThatTheCallerHas)
 {
     event_scanner scanner;
     scanner.feed("id: 1\n\nid: 2\n\nid: 3");
@@ -32,7 +32,7 @@
     EXPECT_EQ(scanner.lastId(), 4U);
 }
 
-TEST(event_scanner, eventsWithoutIdGoOn)
+TEST(event_scanner, relaysEventsWithoutId)
 {
     event_scanner scanner;
     EXPECT_EQ(scanner.feed("data: a\n\n: comment\n\n"), "data: a\n\n: comment\n\n");
--- a/packages/gateway/unittests/gateway_test.cpp
+++ b/packages/gateway/unittests/gateway_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The request path of one VM between a caller and a target on loopback: what may still be sent is decided by the
-/// instant of the send. Time passes here while the event loop stands still, as on a VM that has no share of its core.
+/// Tests of the gateway with a caller and a target on loopback: deadlines are checked at the time of the send. The tests
+/// let time pass while the event loop is blocked, as on a VM that gets no CPU time.
 #include "fuchsialoom/gateway/gateway.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 namespace
 {
 
-/// A request and its answer name each other in X-Id; X-Not-Run is a target's word that it ran nothing.
+/// X-Id carries the request id in requests and answers; X-Not-Run states that the target didn't run the request.
 struct plain_dialect
 {
     static request_facts readRequest(const received_request &request)
@@ -50,8 +50,8 @@
 };
 
 constexpr const char *refusedAnswer = "HTTP/1.1 503 ";
-/// Longer than anything takes on loopback that is sent at all.
-constexpr milliseconds settled{150};
+/// Longer than any delivery on loopback takes.
+constexpr milliseconds deliveryTime{150};
 
 class gateway_test : public testing::Test
 {
@@ -71,7 +71,7 @@
 
     ~gateway_test() override
     {
-        // What is open holds on to the gateway until its caller has left.
+        // Open requests keep references to the gateway until their caller disconnects.
         asio::error_code ignored;
         m_caller.close(ignored);
         runUntil([this] {
@@ -114,26 +114,26 @@
         return made;
     }
 
-    /// One plain service behind one route.
+    /// Configures one route to one plain service.
     void configure(milliseconds objective, milliseconds timeout)
     {
-        route one;
-        one.name = "r";
-        one.host = "h";
-        one.prefix = "/";
-        one.kind = request_kind::NonIdempotent;
-        one.services = {{service_id("s"), 1}};
-        one.objective = objective;
-        one.timeout = timeout;
-        one.attempts = 2;
+        route made;
+        made.name = "r";
+        made.host = "h";
+        made.prefix = "/";
+        made.kind = request_kind::NonIdempotent;
+        made.services = {{service_id("s"), 1}};
+        made.objective = objective;
+        made.timeout = timeout;
+        made.attempts = 2;
         gateway_configuration configuration;
         configuration.version = 1;
-        configuration.routes = {one};
+        configuration.routes = {made};
         configuration.services[service_id("s")] = {};
         m_gateway.configure(std::move(configuration));
     }
 
-    /// What the platform's list does once it shows a target.
+    /// Adds a target, as the platform's target directory does.
     void list(const std::string &id)
     {
         listed_upstream target;
@@ -142,7 +142,7 @@
         target.address = {m_target.address().address().to_string(), m_target.address().port()};
         target.domain = domain_id("d");
         m_gateway.pool().list(loopNow(), target);
-        m_gateway.pump();
+        m_gateway.dispatchQueued();
     }
 
     void runFor(milliseconds length)
@@ -154,15 +154,15 @@
     template<typename Condition>
     void runUntil(Condition holds)
     {
-        static constexpr int mostTurns = 1000;
-        for (int turn = 0; turn < mostTurns && !holds(); ++turn) {
+        static constexpr int maxTurns = 1000;
+        for (int turn = 0; turn < maxTurns && !holds(); ++turn) {
             m_loop.restart();
             m_loop.run_one_for(milliseconds(10));
         }
     }
 
-    /// Returns once the gateway has the request.
-    void ask()
+    /// Sends a request and returns once the gateway has received it.
+    void sendRequest()
     {
         asio::write(m_caller, asio::buffer(std::string("POST /a HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\nContent-Length: 0\r\n\r\n")));
         runUntil([this] {
@@ -175,7 +175,7 @@
         std::this_thread::sleep_for(length);
     }
 
-    /// What the caller has been told, once it has been told anything.
+    /// Waits for the first bytes sent to the caller and returns them.
     std::string answer()
     {
         std::string text;
@@ -195,83 +195,83 @@
     decision_log m_log;
     metrics_registry m_metrics;
     gateway m_gateway;
-    std::vector<std::shared_ptr<caller_link>> m_atTarget; ///< of the requests that came there
+    std::vector<std::shared_ptr<caller_link>> m_atTarget; ///< one for each request received by the target
     int m_submitted = 0;
     caller_listener m_target;
     caller_listener m_callers;
     asio::ip::tcp::socket m_caller;
 };
 
-/// A run of which nothing is known is taken for four of these, 2 s.
+/// The estimated duration without samples is four objectives, 2 s.
 constexpr milliseconds objective{500};
 constexpr milliseconds longTimeout{30000};
 
 } // namespace
 
-/// Nothing runs here that could have set a flag at the plan's instant.
-TEST_F(gateway_test, whatArrivesOnceAStopTakesNothingNewIsRefused)
+/// The event loop is blocked at acceptUntil, so a flag set by a timer at that time would be late.
+TEST_F(gateway_test, refusesRequestsThatArriveAfterAcceptUntil)
 {
     configure(objective, longTimeout);
     list("t1");
-    m_gateway.stopBy(planStop(loopNow(), milliseconds(20), longTimeout));
+    m_gateway.setStopPlan(planStop(loopNow(), milliseconds(20), longTimeout));
     passTime(milliseconds(40));
-    ask();
-    runFor(settled);
+    sendRequest();
+    runFor(deliveryTime);
     ASSERT_EQ(m_atTarget.size(), 0U);
     EXPECT_TRUE(answer().starts_with(refusedAnswer));
 }
 
-TEST_F(gateway_test, whatArrivesBeforeThatIsBegun)
+TEST_F(gateway_test, dispatchesRequestsThatArriveBeforeAcceptUntil)
 {
     configure(objective, longTimeout);
     list("t1");
-    m_gateway.stopBy(planStop(loopNow(), longTimeout, longTimeout));
-    ask();
+    m_gateway.setStopPlan(planStop(loopNow(), longTimeout, longTimeout));
+    sendRequest();
     runUntil([this] {
         return !m_atTarget.empty();
     });
     EXPECT_EQ(m_atTarget.size(), 1U);
 }
 
-TEST_F(gateway_test, whatWaitedTooLongToEndBeforeTheStopIsNotBegun)
+TEST_F(gateway_test, refusesQueuedRequestThatCannotFinishBeforeStop)
 {
     configure(objective, longTimeout);
-    ask();
-    m_gateway.stopBy(planStop(loopNow(), milliseconds(2500), milliseconds(2500)));
+    sendRequest();
+    m_gateway.setStopPlan(planStop(loopNow(), milliseconds(2500), milliseconds(2500)));
     passTime(milliseconds(700));
     list("t1");
-    runFor(settled);
+    runFor(deliveryTime);
     ASSERT_EQ(m_atTarget.size(), 0U);
     EXPECT_TRUE(answer().starts_with(refusedAnswer));
 }
 
-TEST_F(gateway_test, aRefusedRequestThatNoLongerEndsBeforeTheStopIsNotBegunElsewhere)
+TEST_F(gateway_test, doesNotRetryRefusedRequestThatCannotFinishBeforeStop)
 {
     configure(objective, longTimeout);
     list("t1");
     list("t2");
-    ask();
+    sendRequest();
     runUntil([this] {
         return !m_atTarget.empty();
     });
     ASSERT_EQ(m_atTarget.size(), 1U);
-    m_gateway.stopBy(planStop(loopNow(), milliseconds(1000), milliseconds(1000)));
+    m_gateway.setStopPlan(planStop(loopNow(), milliseconds(1000), milliseconds(1000)));
     header_list headers;
     headers.add("X-Id", "1");
     headers.add("X-Not-Run", "1");
     m_atTarget[0]->respond(503, std::move(headers), {});
-    runFor(settled);
+    runFor(deliveryTime);
     ASSERT_EQ(m_atTarget.size(), 1U);
     EXPECT_TRUE(answer().starts_with(refusedAnswer));
 }
 
-TEST_F(gateway_test, whatIsPastItsTimeInTheQueueIsNotSent)
+TEST_F(gateway_test, doesNotSendRequestPastItsQueueDeadline)
 {
     configure(objective, milliseconds(300));
-    ask();
+    sendRequest();
     passTime(milliseconds(400));
     list("t1");
-    runFor(settled);
+    runFor(deliveryTime);
     ASSERT_EQ(m_atTarget.size(), 0U);
     EXPECT_TRUE(answer().starts_with(refusedAnswer));
 }
--- a/packages/gateway/unittests/prompt_reading_test.cpp
+++ b/packages/gateway/unittests/prompt_reading_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Prompts that engines read between the tokens of their streams: nine VMs choose engines for clumps of
-/// requests, and what each engine has to read at a time is the pause that all its streams see.
+/// Simulation of prompt processing (prefill) at engines shared by nine VMs. Engines process prompts between the tokens
+/// of their streams, so an engine's backlog of prompt tokens is the gap that all its streams see.
 #include "fuchsialoom/gateway/target_pool.h"
 
 #include <gtest/gtest.h>
@@ -20,37 +20,37 @@
 const model_id model("m");
 constexpr std::size_t vmCount = 9;
 constexpr std::size_t engineCount = 4;
-constexpr double tokensPerMs = 38.1; ///< that an engine reads
+constexpr double tokensPerMs = 38.1; ///< prompt tokens that an engine processes per ms
 
-struct waiting_prompt
+struct queued_prompt
 {
     std::size_t vm = 0;
     std::uint32_t tokens = 0;
     instant arrivedAt;
 };
 
-struct reading_prompt
+struct active_prompt
 {
     std::size_t vm = 0;
     std::uint32_t tokens = 0;
     double left = 0;
 };
 
-struct reading_result
+struct simulation_result
 {
-    double longestPauseMs = 0; ///< that the prompts at one engine take
-    double longPauses = 0; ///< share of the time at which an engine has more than 300 ms to read
-    double meanWaitMs = 0; ///< of a prompt, until it is sent
+    double longestBacklogMs = 0; ///< longest prompt backlog of an engine
+    double longBacklogShare = 0; ///< share of engine time with a prompt backlog of more than 300 ms
+    double meanWaitMs = 0; ///< mean time until a prompt is sent
 };
 
-/// Pools of all VMs before common engines, moved on by the millisecond.
-class reading_world
+/// The target pools of all VMs and their shared engines, simulated in steps of 1 ms.
+class prefill_simulation
 {
 public:
-    /// \p noteEvery: VMs hear of each other's requests so often.
-    explicit reading_world(int noteEvery)
-        : m_noteEvery(noteEvery)
-        , m_reading(engineCount)
+    /// \p gossipIntervalMs: interval at which VMs learn of each other's requests.
+    explicit prefill_simulation(int gossipIntervalMs)
+        : m_gossipIntervalMs(gossipIntervalMs)
+        , m_active(engineCount)
     {
         for (std::size_t vm = 0; vm < vmCount; ++vm) {
             m_pools.emplace_back(domain_id("d"));
@@ -67,18 +67,18 @@
         }
     }
 
-    reading_result run(int milliseconds)
+    simulation_result run(int milliseconds)
     {
         for (int ms = 0; ms < milliseconds; ++ms) {
             m_now = start + std::chrono::milliseconds(ms);
             arrive();
             send();
             read();
-            if (ms % m_noteEvery == 0) {
-                tellPeers();
+            if (ms % m_gossipIntervalMs == 0) {
+                gossip();
             }
         }
-        m_result.longPauses /= static_cast<double>(milliseconds) * engineCount;
+        m_result.longBacklogShare /= static_cast<double>(milliseconds) * engineCount;
         m_result.meanWaitMs /= static_cast<double>(m_sent);
         return m_result;
     }
@@ -89,32 +89,33 @@
         return target_id("e" + std::to_string(index));
     }
 
-    /// 60 requests a second in clumps of three, a fifth of them with long prompts: engines read 0.55 of the time.
+    /// 60 requests per second in bursts of three, a fifth of them with long prompts; engines spend 55% of the time on
+    /// prompts.
     void arrive()
     {
         if (m_random() % 50 != 0) {
             return;
         }
-        for (int one = 0; one < 3; ++one) {
+        for (int i = 0; i < 3; ++i) {
             const bool isLong = m_random() % 5 == 0;
             const std::uint32_t tokens = isLong ? 1000 + m_random() % 6000 : 200 + m_random() % 1300;
-            m_waiting.push_back({m_random() % vmCount, tokens, m_now});
+            m_queued.push_back({m_random() % vmCount, tokens, m_now});
         }
     }
 
     void send()
     {
-        std::erase_if(m_waiting, [this](const waiting_prompt &one) {
-            target_query query{service, model, {}, one.tokens, nullptr};
-            const target_choice choice = m_pools[one.vm].choose(m_now, query, m_random());
+        std::erase_if(m_queued, [this](const queued_prompt &prompt) {
+            target_query query{service, model, {}, prompt.tokens, nullptr};
+            const target_choice choice = m_pools[prompt.vm].choose(m_now, query, m_random());
             if (!choice.target) {
                 return false;
             }
             const target_id id = choice.target->listed.id;
-            m_pools[one.vm].begin(id, one.tokens);
+            m_pools[prompt.vm].begin(id, prompt.tokens);
             const std::size_t engine = static_cast<std::size_t>(id.text()[1] - '0');
-            m_reading[engine].push_back({one.vm, one.tokens, static_cast<double>(one.tokens)});
-            m_result.meanWaitMs += std::chrono::duration<double, std::milli>(m_now - one.arrivedAt).count();
+            m_active[engine].push_back({prompt.vm, prompt.tokens, static_cast<double>(prompt.tokens)});
+            m_result.meanWaitMs += std::chrono::duration<double, std::milli>(m_now - prompt.arrivedAt).count();
             m_sent += 1;
             return true;
         });
@@ -123,13 +124,13 @@
     void read()
     {
         for (std::size_t engine = 0; engine < engineCount; ++engine) {
-            std::deque<reading_prompt> &prompts = m_reading[engine];
+            std::deque<active_prompt> &prompts = m_active[engine];
             double total = 0;
-            for (const reading_prompt &one : prompts) {
-                total += one.left;
+            for (const active_prompt &prompt : prompts) {
+                total += prompt.left;
             }
-            m_result.longestPauseMs = std::max(m_result.longestPauseMs, total / tokensPerMs);
-            m_result.longPauses += total / tokensPerMs > 300 ? 1 : 0;
+            m_result.longestBacklogMs = std::max(m_result.longestBacklogMs, total / tokensPerMs);
+            m_result.longBacklogShare += total / tokensPerMs > 300 ? 1 : 0;
             double budget = tokensPerMs;
             while (!prompts.empty() && budget > 0) {
                 const double taken = std::min(budget, prompts.front().left);
@@ -144,7 +145,7 @@
         }
     }
 
-    void tellPeers()
+    void gossip()
     {
         for (std::size_t vm = 0; vm < vmCount; ++vm) {
             const flight_counts changed = m_pools[vm].takeChangedFlights();
@@ -156,31 +157,31 @@
         }
     }
 
-    int m_noteEvery;
-    std::deque<target_pool> m_pools; ///< pools stay where they are
-    std::vector<std::deque<reading_prompt>> m_reading;
-    std::vector<waiting_prompt> m_waiting;
+    int m_gossipIntervalMs;
+    std::deque<target_pool> m_pools; ///< a deque, since pools can't be moved
+    std::vector<std::deque<active_prompt>> m_active;
+    std::vector<queued_prompt> m_queued;
     std::mt19937 m_random{20261203};
     instant m_now = start;
     std::size_t m_sent = 0;
-    reading_result m_result;
+    simulation_result m_result;
 };
 
 } // namespace
 
-/// 0.4 of 100 engine milliseconds with more than 300 ms to read, against 4 in 100 where VMs hear of each
-/// other's requests each 150 ms.
-TEST(prompt_reading, streamsSeldomPauseLongWhenVmsNoteWhatTheySend)
+/// With frequent gossip, engines have a prompt backlog of more than 300 ms for 0.4% of the time; with gossip every 150 ms,
+/// for 4%.
+TEST(prompt_reading, frequentGossipKeepsStreamGapsShort)
 {
-    const reading_result noted = reading_world(5).run(60000);
-    const reading_result late = reading_world(150).run(60000);
-    EXPECT_LT(noted.longPauses, 0.004);
-    EXPECT_GT(late.longPauses, 3 * noted.longPauses);
-    EXPECT_LT(noted.longestPauseMs, 500);
-    EXPECT_LT(noted.meanWaitMs, 30);
+    const simulation_result frequent = prefill_simulation(5).run(60000);
+    const simulation_result rare = prefill_simulation(150).run(60000);
+    EXPECT_LT(frequent.longBacklogShare, 0.004);
+    EXPECT_GT(rare.longBacklogShare, 3 * frequent.longBacklogShare);
+    EXPECT_LT(frequent.longestBacklogMs, 500);
+    EXPECT_LT(frequent.meanWaitMs, 30);
 }
 
-/// A prompt larger than the bound goes to an engine that has nothing to read.
+/// A prompt larger than the backlog limit is sent to an engine without pending prompts.
 TEST(prompt_reading, theLargestPromptIsServed)
 {
     target_pool pool{domain_id("d")};
--- a/packages/gateway/unittests/routes_test.cpp
+++ b/packages/gateway/unittests/routes_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Routes by host and longest prefix, splits by weight.
+/// Tests of route lookup by host and longest prefix, and of traffic splits by weight.
 #include "fuchsialoom/gateway/routes.h"
 
 #include <gtest/gtest.h>
--- a/packages/gateway/unittests/waiting_rules_test.cpp
+++ b/packages/gateway/unittests/waiting_rules_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What callers get when more comes than the targets take, played through the queue in virtual time.
+/// Tests of deadlines and queue priorities, with simulations of an overloaded queue in virtual time.
 #include "fuchsialoom/gateway/waiting_rules.h"
 
 #include "fuchsialoom/core/admission_queue.h"
@@ -22,34 +22,34 @@
     return made;
 }
 
-TEST(waiting_rules, aStreamIsRefusedBeforeItsCallerLeaves)
+TEST(waiting_rules, refusesStreamBeforeItsCallerDisconnects)
 {
-    const waiting_bounds bounds = waitingBoundsOf(chatRoute(), start, milliseconds(12000));
-    EXPECT_EQ(bounds.patience, start + milliseconds(12000));
-    // Eight pauses of 300 ms are the longest that its caller waits for an event.
-    EXPECT_LT(bounds.queueUntil, start + milliseconds(2400));
-    EXPECT_GT(bounds.queueUntil, start + milliseconds(2000));
-    EXPECT_LT(bounds.objectiveUntil, start + milliseconds(400));
+    const request_deadlines deadlines = computeDeadlines(chatRoute(), start, milliseconds(12000));
+    EXPECT_EQ(deadlines.callerDeadline, start + milliseconds(12000));
+    // The caller waits for an event for at most eight gap objectives of 300 ms.
+    EXPECT_LT(deadlines.queueDeadline, start + milliseconds(2400));
+    EXPECT_GT(deadlines.queueDeadline, start + milliseconds(2000));
+    EXPECT_LT(deadlines.objectiveDeadline, start + milliseconds(400));
 }
 
-TEST(waiting_rules, theOperatorsTimeoutHoldsWhereItIsShorter)
+TEST(waiting_rules, routeTimeoutLimitsCallerTimeout)
 {
     route plain;
     plain.kind = request_kind::Idempotent;
     plain.timeout = milliseconds(2000);
     plain.objective = milliseconds(300);
-    const waiting_bounds bounds = waitingBoundsOf(plain, start, milliseconds(4000));
-    EXPECT_EQ(bounds.answerUntil, start + milliseconds(2000));
-    EXPECT_EQ(bounds.queueUntil, start + milliseconds(2000));
+    const request_deadlines deadlines = computeDeadlines(plain, start, milliseconds(4000));
+    EXPECT_EQ(deadlines.answerDeadline, start + milliseconds(2000));
+    EXPECT_EQ(deadlines.queueDeadline, start + milliseconds(2000));
     plain.timeout = milliseconds(0);
-    EXPECT_EQ(waitingBoundsOf(plain, start, milliseconds(4000)).answerUntil, start + milliseconds(4000));
+    EXPECT_EQ(computeDeadlines(plain, start, milliseconds(4000)).answerDeadline, start + milliseconds(4000));
 }
 
-TEST(waiting_rules, whatIsOnTimeGoesBeforeWhatIsLate)
+TEST(waiting_rules, requestsOnTimePrecedeLateOnes)
 {
-    EXPECT_LT(waitingPriority(0, false), waitingPriority(1, false));
-    EXPECT_LT(waitingPriority(2, false), waitingPriority(0, true));
-    EXPECT_LT(waitingPriority(0, true), waitingPriority(1, true));
+    EXPECT_LT(queuePriority(0, false), queuePriority(1, false));
+    EXPECT_LT(queuePriority(2, false), queuePriority(0, true));
+    EXPECT_LT(queuePriority(0, true), queuePriority(1, true));
 }
 
 namespace
@@ -62,48 +62,48 @@
     int refused = 0;
 };
 
-/// Chat requests at \p load times what a target takes, for half a minute. \p demote: by the rules, else first
-/// come, first served.
-served_counts play(double load, bool demote)
+/// Simulates 30 s of chat requests at \p load times a target's capacity. \p demote: late requests are demoted;
+/// otherwise first come, first served.
+served_counts simulate(double load, bool demote)
 {
     static constexpr int perSecond = 20;
-    struct waiting
+    struct waiting_request
     {
-        waiting_bounds bounds;
+        request_deadlines deadlines;
         bool late = false;
     };
     admission_queue queue;
-    std::map<request_id, waiting> requests;
+    std::map<request_id, waiting_request> requests;
     served_counts counts;
-    double due = 0;
-    double free = 0;
+    double arrivals = 0;
+    double capacity = 0;
     int serial = 0;
-    const auto entryOf = [](const request_id &id, const waiting &one) {
+    const auto entryOf = [](const request_id &id, const waiting_request &request) {
         queued_request entry;
         entry.id = id;
         entry.lane.serves = "chat";
-        entry.priority = waitingPriority(1, one.late);
-        entry.deadline = one.bounds.queueUntil;
+        entry.priority = queuePriority(1, request.late);
+        entry.deadline = request.deadlines.queueDeadline;
         return entry;
     };
     for (instant now = start; now < start + seconds(30); now += milliseconds(5)) {
-        due += load * perSecond * 0.005;
-        free = std::min(1.0, free + perSecond * 0.005);
-        for (; due >= 1; due -= 1) {
+        arrivals += load * perSecond * 0.005;
+        capacity = std::min(1.0, capacity + perSecond * 0.005);
+        for (; arrivals >= 1; arrivals -= 1) {
             const request_id id(std::to_string(serial++));
-            requests[id] = {waitingBoundsOf(chatRoute(), now, milliseconds(12000))};
+            requests[id] = {computeDeadlines(chatRoute(), now, milliseconds(12000))};
             queue.push(entryOf(id, requests[id]));
         }
-        for (auto &[id, one] : requests) {
-            if (demote && !one.late && now >= one.bounds.objectiveUntil) {
-                one.late = true;
+        for (auto &[id, request] : requests) {
+            if (demote && !request.late && now >= request.deadlines.objectiveDeadline) {
+                request.late = true;
                 queue.remove(id);
-                queue.push(entryOf(id, one));
+                queue.push(entryOf(id, request));
             }
         }
-        for (; free >= 1 && queue.next({}); free -= 1) {
+        for (; capacity >= 1 && queue.next({}); capacity -= 1) {
             const request_id id = queue.next({})->id;
-            (now < requests[id].bounds.objectiveUntil ? counts.onTime : counts.late) += 1;
+            (now < requests[id].deadlines.objectiveDeadline ? counts.onTime : counts.late) += 1;
             queue.depart(now, id);
             requests.erase(id);
         }
@@ -119,19 +119,19 @@
 
 } // namespace
 
-TEST(waiting_rules, mostOfWhatIsServedUnderOverloadIsOnTime)
+TEST(waiting_rules, mostRequestsServedUnderOverloadAreOnTime)
 {
-    const served_counts before = play(2.0, false);
-    const served_counts after = play(2.0, true);
-    // First come, first served, next to nothing is on time; by the rules it is most of what is served.
-    EXPECT_LT(before.onTime, 60);
-    EXPECT_GT(after.onTime, 400);
-    EXPECT_GE(after.onTime + after.late, before.onTime + before.late - 20);
+    const served_counts firstComeFirstServed = simulate(2.0, false);
+    const served_counts prioritized = simulate(2.0, true);
+    // First come, first served answers next to nothing on time; with demotion, most of what is served is on time.
+    EXPECT_LT(firstComeFirstServed.onTime, 60);
+    EXPECT_GT(prioritized.onTime, 400);
+    EXPECT_GE(prioritized.onTime + prioritized.late, firstComeFirstServed.onTime + firstComeFirstServed.late - 20);
 }
 
-TEST(waiting_rules, withRoomForAllNobodyIsLate)
+TEST(waiting_rules, noRequestIsLateBelowCapacity)
 {
-    const served_counts counts = play(0.9, true);
+    const served_counts counts = simulate(0.9, true);
     EXPECT_EQ(counts.late + counts.refused, 0);
     EXPECT_GT(counts.onTime, 500);
 }
