--- a/packages/gateway/include/fuchsialoom/gateway/gateway.h
+++ b/packages/gateway/include/fuchsialoom/gateway/gateway.h
@@ -87,7 +87,7 @@
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
     std::uint64_t abandoned = 0;
-    std::uint64_t repeats = 0;
+    std::uint64_t retries = 0;
 };
 
 class gateway
@@ -99,7 +99,7 @@
     /// Handles a complete request received on \p caller.
     void submit(const std::shared_ptr<caller_link> &caller, received_request request);
 
-    /// Applies \p configuration unless its version isn't newer than the current one. \return whether it was applied.
+    /// Applies \p configuration if its version is newer than the current one. \return whether it was applied.
     bool configure(gateway_configuration configuration);
     bool isConfigured() const
     {
--- a/packages/gateway/lib/exchange.cpp
+++ b/packages/gateway/lib/exchange.cpp
@@ -26,17 +26,17 @@
 static constexpr int statusRefused = 503;
 static constexpr int statusTimedOut = 504;
 
-exchange::exchange(gateway &owner, std::shared_ptr<caller_link> caller, received_request request)
-    : m_gateway(owner)
+exchange::exchange(gateway &parent, std::shared_ptr<caller_link> caller, received_request request)
+    : m_gateway(parent)
     , m_caller(std::move(caller))
     , m_request(std::move(request))
-    , m_facts(owner.m_dialect.readRequest(m_request))
-    , m_serial(std::to_string(++owner.m_serial))
+    , m_facts(parent.m_dialect.readRequest(m_request))
+    , m_serial(std::to_string(++parent.m_serial))
     , m_arrivedAt(loopNow())
-    , m_timer(owner.m_loop)
+    , m_timer(parent.m_loop)
 {
-    owner.m_openCount += 1;
-    owner.m_counters.requests += 1;
+    parent.m_openCount += 1;
+    parent.m_counters.requests += 1;
 }
 
 exchange::~exchange()
@@ -128,9 +128,9 @@
 
 bool exchange::updateLateness(instant now)
 {
-    const bool turns = !m_late && now >= m_deadlines.objectiveDeadline;
-    m_late = m_late || turns;
-    return turns;
+    const bool becameLate = !m_late && now >= m_deadlines.objectiveDeadline;
+    m_late = m_late || becameLate;
+    return becameLate;
 }
 
 target_query exchange::query() const
@@ -149,14 +149,14 @@
 {
     assert(!m_history.mayHaveRun && !m_streamStarted);
     const instant now = loopNow();
-    const target_query asked = query();
+    const target_query target = query();
     m_gateway.m_counters.refused += 1;
     log_line line = log_line("refused", m_facts.id)
                         .with("reason", why)
                         .with("service", m_service)
                         .with("model", m_facts.model)
                         .with("adapter", m_facts.adapter)
-                        .with("room", m_gateway.m_pool.hasRoom(asked.service, asked.model) ? "yes" : "no")
+                        .with("room", m_gateway.m_pool.hasRoom(target.service, target.model) ? "yes" : "no")
                         .with("queued", m_gateway.m_queue.size())
                         .with("waited-ms", std::chrono::duration_cast<milliseconds>(now - m_arrivedAt))
                         .with("retry-after-ms", retryAfter ? std::to_string(retryAfter->count()) : "none");
@@ -264,12 +264,12 @@
     if (!m_attempt) {
         return farFuture;
     }
-    milliseconds silence = std::max(minStallTimeout, stallTimeoutObjectives * m_route.objective);
+    milliseconds stallTimeout = std::max(minStallTimeout, stallTimeoutObjectives * m_route.objective);
     if (isStream()) {
-        silence = m_streamStarted ? std::max(minStallTimeout, stallTimeoutGaps * m_route.gapObjective)
-                                  : std::max(minStallTimeout, m_route.objective);
+        stallTimeout = m_streamStarted ? std::max(minStallTimeout, stallTimeoutGaps * m_route.gapObjective)
+                                       : std::max(minStallTimeout, m_route.objective);
     }
-    return m_attempt->lastByteAt + silence;
+    return m_attempt->lastByteAt + stallTimeout;
 }
 
 void exchange::armTimer()
--- a/packages/gateway/lib/exchange.h
+++ b/packages/gateway/lib/exchange.h
@@ -20,7 +20,7 @@
 class exchange : public std::enable_shared_from_this<exchange>
 {
 public:
-    exchange(gateway &owner, std::shared_ptr<caller_link> caller, received_request request);
+    exchange(gateway &parent, std::shared_ptr<caller_link> caller, received_request request);
     ~exchange();
 
     /// Queues the request or answers it, as the current configuration says.
--- a/packages/gateway/lib/exchange_attempts.cpp
+++ b/packages/gateway/lib/exchange_attempts.cpp
@@ -61,14 +61,14 @@
     m_gateway.addShutdownFields(line, now, *this);
     m_gateway.m_log.writeRequest(now, line);
     m_attempt = attempt();
-    attempt &made = *m_attempt;
-    made.target = target.listed.id;
-    made.sentAt = now;
-    made.lastByteAt = now;
-    made.link = m_gateway.m_links.take(target.listed.id, target.listed.address);
-    m_triedTargets.insert(made.target);
-    made.pendingPromptTokens = m_isEngine ? m_facts.promptTokens : 0;
-    m_gateway.m_pool.begin(made.target, made.pendingPromptTokens);
+    attempt &started = *m_attempt;
+    started.target = target.listed.id;
+    started.sentAt = now;
+    started.lastByteAt = now;
+    started.link = m_gateway.m_links.take(target.listed.id, target.listed.address);
+    m_triedTargets.insert(started.target);
+    started.pendingPromptTokens = m_isEngine ? m_facts.promptTokens : 0;
+    m_gateway.m_pool.begin(started.target, started.pendingPromptTokens);
     if (!m_running) {
         m_running = true;
         model_demand &demand = m_gateway.m_demand[m_facts.model];
@@ -86,7 +86,7 @@
     }
     m_eventScanner.restart();
     m_paceSampleStart = instant{};
-    made.link->send(serializeRequest(target), m_request.method == "HEAD", now + connectTimeout, callbacksForAttempt(m_attemptNumber));
+    started.link->send(serializeRequest(target), m_request.method == "HEAD", now + connectTimeout, callbacksForAttempt(m_attemptNumber));
     armTimer();
 }
 
@@ -308,7 +308,7 @@
     case retry_step::TryElsewhere:
         if (outcome != attempt_outcome::NotSent) {
             budget.countRetry(now);
-            m_gateway.m_counters.repeats += 1;
+            m_gateway.m_counters.retries += 1;
         }
         endAttempt();
         m_gateway.enqueue(shared_from_this());
--- a/packages/gateway/lib/gateway.cpp
+++ b/packages/gateway/lib/gateway.cpp
@@ -145,7 +145,7 @@
     const target_choice choice = m_pool.choose(loopNow(), query, m_random());
     if (choice.target) {
         m_queue.depart(loopNow(), ex.serial());
-        const auto held = m_queued.extract(ex.serial());
+        const auto keptAlive = m_queued.extract(ex.serial());
         m_demand[ex.facts().model].waiting -= 1;
         ex.dispatch(*choice.target);
         notifyInFlightChanged();
