--- a/packages/gateway/include/fuchsialoom/gateway/decision_log.h
+++ b/packages/gateway/include/fuchsialoom/gateway/decision_log.h
@@ -1,6 +1,6 @@
 /// \file
-/// Structured log of an event loop: one line of key=value fields per decision. It never blocks: lines are kept in a
-/// bounded buffer, and lines that don't fit are dropped and counted in a line of their own.
+/// Structured log of an event loop, on standard output: one line of key=value fields per decision. It never blocks: lines
+/// are kept in a bounded buffer, and lines that don't fit are dropped and counted in a line of their own.
 #pragma once
 
 #include "fuchsialoom/support/ids.h"
--- a/packages/gateway/include/fuchsialoom/gateway/retry_rules.h
+++ b/packages/gateway/include/fuchsialoom/gateway/retry_rules.h
@@ -12,7 +12,7 @@
 {
 
 enum class attempt_outcome {
-    NotSent, ///< no byte reached the target
+    NotSent, ///< no byte can have reached the target
     NotRun, ///< the target states that it didn't run the request and won't
     Failed, ///< the target ran it and answered with a server error
     Broken, ///< sent, but no complete answer arrived; the request may have run
--- a/packages/gateway/lib/exchange_attempts.cpp
+++ b/packages/gateway/lib/exchange_attempts.cpp
@@ -178,13 +178,13 @@
     if (!m_isEngine) {
         return;
     }
-    const std::uint64_t made = m_eventScanner.count() - m_paceSampleFirstEvent;
+    const std::uint64_t produced = m_eventScanner.count() - m_paceSampleFirstEvent;
     const bool isFirst = m_paceSampleStart == instant{};
-    if (!isFirst && made < eventsPerPaceSample) {
+    if (!isFirst && produced < eventsPerPaceSample) {
         return;
     }
     if (!isFirst) {
-        m_gateway.m_paceMeters[m_facts.model].record(now, std::chrono::duration_cast<milliseconds>(now - m_paceSampleStart), made);
+        m_gateway.m_paceMeters[m_facts.model].record(now, std::chrono::duration_cast<milliseconds>(now - m_paceSampleStart), produced);
     }
     m_paceSampleStart = now;
     m_paceSampleFirstEvent = m_eventScanner.count();
--- a/packages/gateway/lib/retry_rules.cpp
+++ b/packages/gateway/lib/retry_rules.cpp
@@ -78,7 +78,7 @@
         requests += counted.requests;
         retries += counted.retries;
     }
-    // The ratio can't be used in full either: requests count as they arrive, and the limit has to hold for every
+    // usableShare applies to the ratio as well: requests count as they arrive, and the limit has to hold for every
     // window that slides over the retries.
     const double allowed = usableShare * (m_limits.ratio * requests + m_limits.slack / static_cast<double>(m_vms));
     return retries + 1 <= allowed;
--- a/packages/gateway/unittests/prompt_reading_test.cpp
+++ b/packages/gateway/unittests/prompt_reading_test.cpp
@@ -73,7 +73,7 @@
             m_now = start + std::chrono::milliseconds(ms);
             arrive();
             send();
-            read();
+            processPrompts();
             if (ms % m_gossipIntervalMs == 0) {
                 gossip();
             }
@@ -121,7 +121,7 @@
         });
     }
 
-    void read()
+    void processPrompts()
     {
         for (std::size_t engine = 0; engine < engineCount; ++engine) {
             std::deque<active_prompt> &prompts = m_active[engine];
@@ -158,7 +158,7 @@
     }
 
     int m_gossipIntervalMs;
-    std::deque<target_pool> m_pools; ///< a deque, since pools can't be moved
+    std::deque<target_pool> m_pools; ///< a deque, so that adding pools moves none
     std::vector<std::deque<active_prompt>> m_active;
     std::vector<queued_prompt> m_queued;
     std::mt19937 m_random{20261203};
@@ -182,7 +182,7 @@
 }
 
 /// A prompt larger than the backlog limit is sent to an engine without pending prompts.
-TEST(prompt_reading, theLargestPromptIsServed)
+TEST(prompt_reading, servesPromptLargerThanBacklogLimit)
 {
     target_pool pool{domain_id("d")};
     listed_upstream made;
