--- a/packages/gateway/include/fuchsialoom/gateway/gateway.h
+++ b/packages/gateway/include/fuchsialoom/gateway/gateway.h
@@ -8,7 +8,7 @@
 #include "fuchsialoom/fleet/words.h"
 #include "fuchsialoom/gateway/decision_log.h"
 #include "fuchsialoom/gateway/drain_rules.h"
-#include "fuchsialoom/gateway/link_pool.h"
+#include "fuchsialoom/gateway/connection_pool.h"
 #include "fuchsialoom/gateway/request_facts.h"
 #include "fuchsialoom/gateway/retry_rules.h"
 #include "fuchsialoom/gateway/routes.h"
@@ -204,7 +204,7 @@
     std::optional<gateway_configuration> m_configuration;
     route_table m_routes;
     target_pool m_pool;
-    link_pool m_links;
+    connection_pool m_links;
     admission_queue m_queue;
     std::map<request_id, std::shared_ptr<exchange>> m_queued; ///< by serial
     std::map<request_id, std::weak_ptr<exchange>> m_openExchanges; ///< by serial; not completed yet
--- a/packages/gateway/include/fuchsialoom/gateway/residency_duty.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_duty.h
@@ -5,7 +5,7 @@
 
 #include "fuchsialoom/gateway/demand_view.h"
 #include "fuchsialoom/gateway/duty_lease.h"
-#include "fuchsialoom/gateway/duty_sight.h"
+#include "fuchsialoom/gateway/duty_forecast.h"
 #include "fuchsialoom/gateway/gateway.h"
 #include "fuchsialoom/gateway/residency_keeper.h"
 
@@ -112,7 +112,7 @@
     instant m_planAt{};
     std::map<model_id, double> m_unserved; ///< asked for and held nowhere: streams that its waiting counts as
     instant m_unservedAt{};
-    duty_sight m_sight; ///< of other holders; on the loop's clock
+    duty_forecast m_sight; ///< of other holders; on the loop's clock
 };
 
 /// The placement wanted of \p service's engines by what is asked of their models. \p unserved: models that
--- a/packages/gateway/lib/exchange_attempts.cpp
+++ b/packages/gateway/lib/exchange_attempts.cpp
@@ -65,7 +65,7 @@
     started.target = target.listed.id;
     started.sentAt = now;
     started.lastByteAt = now;
-    started.link = m_gateway.m_links.take(target.listed.id, target.listed.address);
+    started.link = m_gateway.m_links.acquire(target.listed.id, target.listed.address);
     m_triedTargets.insert(started.target);
     started.pendingPromptTokens = m_isEngine ? m_facts.promptTokens : 0;
     m_gateway.m_pool.begin(started.target, started.pendingPromptTokens);
@@ -333,7 +333,7 @@
     const target_id target = m_attempt->target;
     m_gateway.m_pool.end(target, m_attempt->pendingPromptTokens);
     m_gateway.notifyInFlightChanged();
-    m_gateway.m_links.give(target, m_attempt->link);
+    m_gateway.m_links.release(target, m_attempt->link);
     m_attempt.reset();
 }
 
--- a/packages/gateway/lib/residency_duty.cpp
+++ b/packages/gateway/lib/residency_duty.cpp
@@ -209,7 +209,7 @@
 void residency_duty::onDemand(const vm_id &vm, const std::vector<demand_entry> &demand)
 {
     const instant now = loopNow();
-    m_demand.tell(now, vm, demand);
+    m_demand.setDemand(now, vm, demand);
     for (const demand_entry &entry : demand) {
         if (!entry.adapter.empty()) {
             m_keeper.used(now, entry.model, entry.adapter, entry.running);
@@ -227,7 +227,7 @@
 
 void residency_duty::onHolderHeard(milliseconds wait)
 {
-    m_sight.hear(loopNow(), wait);
+    m_sight.noteHolder(loopNow(), wait);
     m_lease.onHolderHeard(clock());
 }
 
@@ -263,7 +263,7 @@
 
 void residency_duty::onLeaseMoved()
 {
-    m_lease.onMoved(clock());
+    m_lease.onAppendConflict(clock());
     m_log.write(loopNow(), log_line("duty-log-moved").with("fence", m_lease.fence()));
     pursueLease();
 }
--- a/packages/gateway/unittests/gateway_test.cpp
+++ b/packages/gateway/unittests/gateway_test.cpp
@@ -136,7 +136,7 @@
     /// Adds a target, as the platform's target directory does.
     void list(const std::string &id)
     {
-        listed_upstream target;
+        target_listing target;
         target.id = target_id(id);
         target.service = service_id("s");
         target.address = {m_target.address().address().to_string(), m_target.address().port()};
--- a/packages/gateway/unittests/prompt_reading_test.cpp
+++ b/packages/gateway/unittests/prompt_reading_test.cpp
@@ -55,7 +55,7 @@
         for (std::size_t vm = 0; vm < vmCount; ++vm) {
             m_pools.emplace_back(domain_id("d"));
             for (std::size_t engine = 0; engine < engineCount; ++engine) {
-                listed_upstream made;
+                target_listing made;
                 made.id = engineAt(engine);
                 made.service = service;
                 made.domain = domain_id("d");
@@ -185,7 +185,7 @@
 TEST(prompt_reading, servesPromptLargerThanBacklogLimit)
 {
     target_pool pool{domain_id("d")};
-    listed_upstream made;
+    target_listing made;
     made.id = target_id("e");
     made.service = service;
     made.slots = 32;
