--- a/packages/gateway/include/fuchsialoom/gateway/replica_plan.h
+++ b/packages/gateway/include/fuchsialoom/gateway/replica_plan.h
@@ -1,11 +1,11 @@
 /// \file
-/// How many copies each model is to have, and at which engines. Pure: from what engines hold and what is
-/// asked of each model to the copies wanted and the loads that lead there.
+/// Plans the number of replicas of each model and the engines that hold them. A pure function of the models that
+/// engines hold and the demand for each model; returns the placement and the loads that lead to it.
 ///
-/// Places are given out one by one, each to the model with the most streams for each copy that it would have
-/// then (highest averages), so that copies follow demand and no place stays empty while some model is busy. A
-/// copy changes hands only when that gains more than a load costs, and counts from when it serves: a load takes from
-/// under a second, out of an engine's own memory, to many, out of the weight store.
+/// Slots are assigned one by one, each to the model with the most streams for each copy that it would then
+/// have (highest averages method), so that copies follow demand and no slot stays empty while some model is
+/// busy. A copy replaces another only if the gain exceeds the cost of the load. The gain counts from the end of the
+/// load, which takes from under a second (from the engine's own memory) to many seconds (from the weight store).
 #pragma once
 
 #include "fuchsialoom/support/ids.h"
@@ -21,22 +21,22 @@
 {
     model_id model;
     double megabytes = 0;
-    double loadSeconds = 0; ///< from the weight store
-    double streams = 0; ///< that are to have places soon
-    double remembered = 0; ///< the most streams of late, fading
-    double waited = 0; ///< streams that its waiting counts as, while no engine holds it
-    double diskSeconds = 0; ///< a load from an engine's own disk; 0: not told
-    double memorySeconds = 0; ///< a load from an engine's own memory; 0: not told
+    double loadSeconds = 0; ///< load time from the weight store
+    double streams = 0; ///< expected streams in the near future
+    double recentPeakStreams = 0; ///< recent peak of streams, decaying over time
+    double waitingStreams = 0; ///< weight of its waiting in streams, while no engine holds it
+    double diskSeconds = 0; ///< load time from an engine's own disk; 0: unknown
+    double memorySeconds = 0; ///< load time from an engine's own memory; 0: unknown
 };
 
 struct replica_engine
 {
     target_id target;
-    double megabytes = 0; ///< for weights
-    std::set<model_id> held; ///< resident or being loaded, and not on their way out
-    std::set<model_id> fresh; ///< of these, those that have served for less time than their load took
-    std::set<model_id> atHand; ///< weights in its memory or on its disk: quick to load
-    std::set<model_id> inMemory; ///< of these, those in its memory
+    double megabytes = 0; ///< memory for weights
+    std::set<model_id> held; ///< resident or being loaded, and not being unloaded
+    std::set<model_id> recentlyLoaded; ///< the subset of `held` that has served for less time than its load took
+    std::set<model_id> cachedModels; ///< models with weights in its memory or on its disk, which load fast
+    std::set<model_id> memoryCachedModels; ///< the subset of `cachedModels` in its memory
 };
 
 struct replica_load
@@ -50,11 +50,11 @@
 struct replica_plan
 {
     std::map<target_id, std::set<model_id>> wanted;
-    std::vector<replica_load> loads; ///< the models with the most streams for each copy first
-    std::set<model_id> yielding; ///< models without a wanted copy: their last one may go for now
+    std::vector<replica_load> loads; ///< ordered by streams for each copy, highest first
+    std::set<model_id> evictable; ///< models without a planned copy, whose last copy may be unloaded
 };
 
-/// \p engines: those that serve. Lists in any order; the result depends on their content alone.
+/// \p engines: those in service. The result doesn't depend on the order of the lists.
 replica_plan planReplicas(std::vector<replica_engine> engines, std::vector<replica_model> models);
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/held_models.h
+++ b/packages/gateway/lib/held_models.h
@@ -1,16 +1,16 @@
 /// \file
-/// Small look-ups in what an engine holds, for the residency keeper's sources.
+/// Lookups in the models that an engine holds, for the sources of residency_reconciler.
 #pragma once
 
-#include "fuchsialoom/gateway/residency_keeper.h"
+#include "fuchsialoom/gateway/residency_reconciler.h"
 
 #include <algorithm>
 
 namespace fuchsialoom
 {
 
-/// Between two looks at an engine that loads; its report is some 200 ms old.
-inline constexpr milliseconds reportEvery{200};
+/// Interval of report requests while an engine loads or unloads; reports are about 200 ms old.
+inline constexpr milliseconds loadReportInterval{200};
 
 inline held_model *findModel(std::vector<held_model> &models, const model_id &model)
 {
--- a/packages/gateway/lib/residency_adapters.cpp
+++ b/packages/gateway/lib/residency_adapters.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the keeper orders of adapters: those that requests wait for, and those that they will ask for.
+/// Adapter orders: on-demand loads for waiting requests, evictions and prefetches.
 #include "held_models.h"
 
 #include <tuple>
@@ -7,39 +7,39 @@
 namespace fuchsialoom
 {
 
-/// A want is repeated by the VMs that have it, so it lapses soon.
-static constexpr milliseconds wantHold{600};
-/// An adapter that was asked for so lately doesn't make way for another.
-static constexpr milliseconds adapterInUse{500};
-/// Between two looks for adapters to fetch ahead.
-static constexpr milliseconds prefetchEvery{100};
-/// Adapters fetched ahead in one look, so that those that requests wait for find the store free: the fewest on
-/// their way that slow each other down are 24.
-static constexpr int mostPrefetched = 4;
-/// Places kept for adapters that requests wait for.
-static constexpr std::size_t placesForWants = 1;
+/// VMs repeat a request for an adapter while they need it, so it expires quickly.
+static constexpr milliseconds adapterWantLifetime{600};
+/// An adapter requested or running within this time isn't evicted.
+static constexpr milliseconds adapterIdleTime{500};
+/// Interval of prefetch passes.
+static constexpr milliseconds prefetchInterval{100};
+/// Limit on prefetches for each pass, so that the store has capacity for adapters that requests wait for: 24 or more
+/// concurrent adapter loads slow each other down.
+static constexpr int maxPrefetchesPerPass = 4;
+/// Adapter slots for each engine that prefetching leaves free for adapters that requests wait for.
+static constexpr std::size_t reservedAdapterSlots = 1;
 
-std::size_t residency_keeper::adaptersOf(const engine &at) const
+std::size_t residency_reconciler::adaptersOf(const engine_state &state) const
 {
-    std::size_t count = at.departing.size();
-    for (const held_model &held : at.report.models) {
+    std::size_t count = state.drainingAdapters.size();
+    for (const held_model &held : state.report.models) {
         count += held.adapters.size();
         for (const adapter_id &adapter : held.adapters) {
-            count -= at.departing.contains({held.model, adapter}) ? 1 : 0;
+            count -= state.drainingAdapters.contains({held.model, adapter}) ? 1 : 0;
         }
     }
     return count;
 }
 
-std::optional<residency_keeper::adapter_key> residency_keeper::leastUsed(instant now, const engine &at) const
+std::optional<residency_reconciler::adapter_key> residency_reconciler::leastRecentlyUsed(instant now, const engine_state &state) const
 {
     std::optional<adapter_key> least;
     instant leastAt = farFuture;
-    for (const held_model &held : at.report.models) {
+    for (const held_model &held : state.report.models) {
         for (const adapter_id &adapter : held.adapters) {
-            const auto known = m_used.find({held.model, adapter});
-            const adapter_use use = known == m_used.end() ? adapter_use{} : known->second;
-            if (now - use.askedAt < adapterInUse || now - use.runningAt < adapterInUse) {
+            const auto known = m_adapterUses.find({held.model, adapter});
+            const adapter_use use = known == m_adapterUses.end() ? adapter_use{} : known->second;
+            if (now - use.askedAt < adapterIdleTime || now - use.runningAt < adapterIdleTime) {
                 continue;
             }
             if (use.askedAt < leastAt) {
@@ -51,49 +51,50 @@
     return least;
 }
 
-void residency_keeper::want(instant now, const adapter_want &want)
+void residency_reconciler::requestAdapter(instant now, const adapter_want &want)
 {
-    m_wants[want] = now + wantHold;
-    used(now, want.model, want.adapter);
+    m_adapterWants[want] = now + adapterWantLifetime;
+    recordAdapterUse(now, want.model, want.adapter);
 }
 
-void residency_keeper::used(instant now, const model_id &model, const adapter_id &adapter, std::uint32_t running)
+void residency_reconciler::recordAdapterUse(instant now, const model_id &model, const adapter_id &adapter, std::uint32_t running)
 {
-    adapter_use &use = m_used[{model, adapter}];
+    adapter_use &use = m_adapterUses[{model, adapter}];
     use.askedAt = now;
     if (running > 0) {
         use.runningAt = now;
     }
 }
 
-bool residency_keeper::serveWant(instant now, const target_pool &pool, const adapter_want &want, residency_steps &steps)
+bool residency_reconciler::serveAdapterWant(instant now, const target_pool &pool, const adapter_want &want, residency_actions &actions)
 {
     const auto traits = m_traits.find(want.service);
     if (traits == m_traits.end()) {
         return true;
     }
-    engine *best = nullptr;
+    engine_state *best = nullptr;
     target_id bestId;
     double bestLoad = 0;
-    for (auto &[id, at] : m_engines) {
+    for (auto &[id, state] : m_engines) {
         const pool_target *target = pool.find(id);
-        if (at.service != want.service || !target || !target->takesNew() || !at.known || !holdsModel(at.report.models, want.model)) {
+        if (state.service != want.service || !target || !target->takesNew() || !state.reportValid
+            || !holdsModel(state.report.models, want.model)) {
             continue;
         }
-        if (findModel(at.report.models, want.model)->adapters.contains(want.adapter)) {
+        if (findModel(state.report.models, want.model)->adapters.contains(want.adapter)) {
             return true;
         }
-        if (at.departing.contains({want.model, want.adapter})) {
+        if (state.drainingAdapters.contains({want.model, want.adapter})) {
             continue;
         }
-        if (at.sent || at.retiring || (at.loading && at.loading->model == want.model)) {
+        if (state.unanswered || state.pendingUnload || (state.inProgress && state.inProgress->model == want.model)) {
             continue;
         }
-        const bool full = adaptersOf(at) >= traits->second.adapterSlots;
-        // A free place is worth a third of an engine's load.
+        const bool full = adaptersOf(state) >= traits->second.adapterSlots;
+        // Evicting an adapter costs as much as 0.3 of an engine's load.
         const double load = static_cast<double>(target->inFlight()) / target->listed.slots + (full ? 0.3 : 0);
         if (!best || load < bestLoad) {
-            best = &at;
+            best = &state;
             bestId = id;
             bestLoad = load;
         }
@@ -103,102 +104,104 @@
     }
     const pool_target &target = *pool.find(bestId);
     if (adaptersOf(*best) >= traits->second.adapterSlots) {
-        const std::optional<adapter_key> out = leastUsed(now, *best);
-        if (!out) {
+        const std::optional<adapter_key> victim = leastRecentlyUsed(now, *best);
+        if (!victim) {
             return false;
         }
-        steps.news.push_back({bestId, out->first, out->second, false});
-        handOut(now, *best, {bestId, target.listed.address, false, out->first, out->second, 0}, steps);
+        actions.news.push_back({bestId, victim->first, victim->second, false});
+        issueOrder(now, *best, {bestId, target.listed.address, false, victim->first, victim->second, 0}, actions);
         return false;
     }
     const served_model *model = traits->second.find(want.model);
     if (!model || megabytesOf(*best, traits->second) + model->adapterMegabytes > traits->second.megabytes) {
         return false;
     }
-    handOut(now, *best, {bestId, target.listed.address, true, want.model, want.adapter, 0}, steps);
+    issueOrder(now, *best, {bestId, target.listed.address, true, want.model, want.adapter, 0}, actions);
     return true;
 }
 
-void residency_keeper::serveWants(instant now, const target_pool &pool, residency_steps &steps)
+void residency_reconciler::serveAdapterWants(instant now, const target_pool &pool, residency_actions &actions)
 {
-    std::erase_if(m_wants, [now](const auto &entry) {
+    std::erase_if(m_adapterWants, [now](const auto &entry) {
         return entry.second <= now;
     });
-    if (now < m_adaptersFrom) {
+    if (now < m_adapterMovesFrom) {
         return;
     }
-    for (auto one = m_wants.begin(); one != m_wants.end();) {
-        if (serveWant(now, pool, one->first, steps)) {
-            one = m_wants.erase(one);
+    for (auto one = m_adapterWants.begin(); one != m_adapterWants.end();) {
+        if (serveAdapterWant(now, pool, one->first, actions)) {
+            one = m_adapterWants.erase(one);
         } else {
             ++one;
         }
     }
 }
 
-/// Adapters of the busy models that are at the fewest engines go where there is a place. A request whose adapter is
-/// at no engine waits for the holder of the duty, which may be gone for 6 s: of the requests that were refused on
-/// a day on which it was, nine in ten had named an adapter.
-void residency_keeper::prefetchAdapters(instant now, const target_pool &pool, residency_steps &steps)
+/// Loads the least replicated adapters of busy models into free adapter slots. A request whose adapter no engine holds
+/// depends on the lease holder, which may be absent for 6 s: on a day with such an absence, nine in ten of the refused
+/// requests had named an adapter.
+void residency_reconciler::prefetchAdapters(instant now, const target_pool &pool, residency_actions &actions)
 {
-    if (now < m_adaptersFrom || now < m_prefetchAt) {
+    if (now < m_adapterMovesFrom || now < m_nextPrefetchAt) {
         return;
     }
-    m_prefetchAt = now + prefetchEvery;
+    m_nextPrefetchAt = now + prefetchInterval;
     std::map<adapter_key, std::size_t> copies;
-    for (const auto &[id, at] : m_engines) {
-        for (const held_model &held : at.report.models) {
+    for (const auto &[id, state] : m_engines) {
+        for (const held_model &held : state.report.models) {
             for (const adapter_id &adapter : held.adapters) {
                 copies[{held.model, adapter}] += 1;
             }
         }
     }
-    int fetched = 0;
-    for (auto &[id, at] : m_engines) {
+    int prefetches = 0;
+    for (auto &[id, state] : m_engines) {
         const pool_target *target = pool.find(id);
-        const auto plan = m_plans.find(at.service);
-        if (!target || !target->takesNew() || !at.known || at.sent || at.retiring || at.report.busy || plan == m_plans.end()) {
+        const auto plan = m_plans.find(state.service);
+        if (!target || !target->takesNew() || !state.reportValid || state.unanswered || state.pendingUnload || state.report.busy
+            || plan == m_plans.end()) {
             continue;
         }
-        const engine_traits &traits = m_traits.at(at.service);
-        if (adaptersOf(at) + placesForWants >= traits.adapterSlots) {
+        const engine_traits &traits = m_traits.at(state.service);
+        if (adaptersOf(state) + reservedAdapterSlots >= traits.adapterSlots) {
             continue;
         }
-        const std::optional<adapter_key> rarest = rarestAdapter(at, traits, plan->second.busy, copies);
-        if (!rarest || megabytesOf(at, traits) + traits.find(rarest->first)->adapterMegabytes > traits.megabytes) {
+        const std::optional<adapter_key> rarest = leastReplicatedAdapter(state, traits, plan->second.busy, copies);
+        if (!rarest || megabytesOf(state, traits) + traits.find(rarest->first)->adapterMegabytes > traits.megabytes) {
             continue;
         }
         copies[*rarest] += 1;
-        handOut(now, at, {id, target->listed.address, true, rarest->first, rarest->second, 0}, steps);
-        fetched += 1;
-        if (fetched >= mostPrefetched) {
+        issueOrder(now, state, {id, target->listed.address, true, rarest->first, rarest->second, 0}, actions);
+        prefetches += 1;
+        if (prefetches >= maxPrefetchesPerPass) {
             return;
         }
     }
 }
 
-/// Of the adapters that \p at could hold beside its busy models, the one at the fewest engines; of several, the one
-/// asked for last.
-std::optional<residency_keeper::adapter_key> residency_keeper::rarestAdapter(const engine &at,
-                                                                             const engine_traits &traits,
-                                                                             const std::set<model_id> &busy,
-                                                                             const std::map<adapter_key, std::size_t> &copies) const
+/// Of the adapters for busy models that \p at holds and that aren't loaded there, the one held by the fewest engines;
+/// of several, the most recently requested.
+std::optional<residency_reconciler::adapter_key>
+residency_reconciler::leastReplicatedAdapter(const engine_state &state,
+                                             const engine_traits &traits,
+                                             const std::set<model_id> &busy,
+                                             const std::map<adapter_key, std::size_t> &copies) const
 {
     std::optional<adapter_key> rarest;
     std::tuple<std::size_t, instant> least;
-    for (const held_model &held : at.report.models) {
+    for (const held_model &held : state.report.models) {
         const served_model *model = traits.find(held.model);
         if (!model || !busy.contains(held.model)) {
             continue;
         }
         for (std::uint32_t number = 1; number <= model->adapters; ++number) {
             const adapter_key key(held.model, adapterAt(number));
-            if (held.adapters.contains(key.second) || at.departing.contains(key)) {
+            if (held.adapters.contains(key.second) || state.drainingAdapters.contains(key)) {
                 continue;
             }
             const auto count = copies.find(key);
-            const auto use = m_used.find(key);
-            const instant unasked = farFuture - (use == m_used.end() ? instant{} : use->second.askedAt).time_since_epoch();
+            const auto use = m_adapterUses.find(key);
+            const instant unasked = farFuture - (use == m_adapterUses.end() ? instant{} : use->second.askedAt).time_since_epoch();
             const std::tuple rank(count == copies.end() ? 0 : count->second, unasked);
             if (!rarest || rank < least) {
                 rarest = key;
--- a/packages/gateway/lib/residency_plan.cpp
+++ b/packages/gateway/lib/residency_plan.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// From demand, and from what engines hold, to the placement wanted.
-#include "fuchsialoom/gateway/residency_duty.h"
+/// Computes the planned placement from the demand and the models that engines hold.
+#include "fuchsialoom/gateway/residency_controller.h"
 
 #include "fuchsialoom/gateway/replica_plan.h"
 
@@ -9,21 +9,22 @@
 namespace fuchsialoom
 {
 
-/// Weights have one version at a time here: a load fetches the newest.
+/// Loads always fetch the newest version of the weights; there is no other at a time.
 static const version_id onlyVersion{"newest"};
 static constexpr double bytesPerMegabyte = 1e6;
-/// Streams that a model's engines are to have for each that runs or waits: arrivals come in clumps of three.
+/// Planned streams for each running or waiting one, as requests arrive in bursts of three.
 static constexpr double headroom = 1.35;
-/// Seconds that a plan looks ahead on a rise, beside a load's time: the unload that makes room waits for its runs, 1.5
-/// to 3 s, its order and the news of it take half a one.
+/// Seconds over which rising demand is extrapolated, in addition to a part of the load time: the unload that frees memory
+/// waits 1.5 to 3 s for running requests, and its order and announcement take 0.5 s.
 static constexpr double lookAhead = 2.0;
-/// Of a load from the weight store, the part that is looked ahead as well.
+/// Fraction of the load time from the weight store that is added to `lookAhead`.
 static constexpr double lookAheadOfLoad = 0.8;
 
-/// Streams from which on a model's adapters are fetched ahead: below, one is asked for every few seconds.
+/// Streams at which prefetching of a model's adapters starts; with fewer, an adapter is requested every few seconds.
 static constexpr double busyStreams = 3.0;
 
-/// Adapters move too often for a plan; room for all that an engine may hold is kept beside its weights.
+/// Memory of an engine for weights. Adapters change too often to be planned, so room for as many of the largest ones as
+/// fit the adapter slots is reserved.
 static double megabytesForWeights(const engine_traits &traits)
 {
     double largest = 0;
@@ -44,31 +45,31 @@
     const auto streams = demand.models().find(model.model);
     if (streams != demand.models().end()) {
         made.streams = headroom * demand_view::projected(streams->second, lookAhead + lookAheadOfLoad * model.loadSeconds);
-        made.remembered = headroom * streams->second.remembered;
+        made.recentPeakStreams = headroom * streams->second.remembered;
     }
-    const auto waits = unserved.find(model.model);
-    made.waited = waits == unserved.end() ? 0 : waits->second;
+    const auto waited = unserved.find(model.model);
+    made.waitingStreams = waited == unserved.end() ? 0 : waited->second;
     return made;
 }
 
-static replica_engine engineOf(instant now, const pool_target &target, const engine_traits &traits, const residency_keeper &keeper)
+static replica_engine engineOf(instant now, const pool_target &target, const engine_traits &traits, const residency_reconciler &reconciler)
 {
     replica_engine made;
     made.target = target.listed.id;
     made.megabytes = megabytesForWeights(traits);
-    // An engine whose report is awaited holds what it is listed with: without it, its models would seem to
-    // be lost and be loaded elsewhere.
-    const std::vector<held_model> *held = keeper.heldBy(target.listed.id);
-    const std::optional<model_id> going = keeper.goingFrom(target.listed.id);
+    // Until an engine's report arrives, its listed models are used. Otherwise its models would count as lost
+    // and be loaded elsewhere.
+    const std::vector<held_model> *held = reconciler.heldBy(target.listed.id);
+    const std::optional<model_id> unloading = reconciler.unloadingFrom(target.listed.id);
     for (const held_model &one : held ? *held : target.listed.models) {
-        if (one.model != going) {
+        if (one.model != unloading) {
             made.held.insert(one.model);
         }
     }
-    made.fresh = keeper.freshAt(now, target.listed.id);
-    if (const engine_report *report = keeper.reportOf(target.listed.id)) {
-        made.atHand = report->atHand;
-        made.inMemory = report->inMemory;
+    made.recentlyLoaded = reconciler.recentlyLoadedAt(now, target.listed.id);
+    if (const engine_report *report = reconciler.reportOf(target.listed.id)) {
+        made.cachedModels = report->cachedModels;
+        made.memoryCachedModels = report->memoryCachedModels;
     }
     return made;
 }
@@ -90,22 +91,22 @@
     for (const replica_load &load : replicas.loads) {
         plan.wanted.loads.push_back({load.target, load.model, onlyVersion, {}, bytesOf(load.model), move_cause::Demand});
     }
-    plan.yielding = replicas.yielding;
+    plan.evictable = replicas.evictable;
     return plan;
 }
 
-residency_plan planResidency(instant now,
-                             const service_id &service,
-                             const engine_traits &traits,
-                             const target_pool &pool,
-                             const residency_keeper &keeper,
-                             const demand_view &demand,
-                             const std::map<model_id, double> &unserved)
+residency_plan planServiceResidency(instant now,
+                                    const service_id &service,
+                                    const engine_traits &traits,
+                                    const target_pool &pool,
+                                    const residency_reconciler &reconciler,
+                                    const demand_view &demand,
+                                    const std::map<model_id, double> &unserved)
 {
     std::vector<replica_engine> engines;
     for (const auto &[id, target] : pool.targets()) {
         if (target.listed.service == service && target.listed.isEngine && target.takesNew()) {
-            engines.push_back(engineOf(now, target, traits, keeper));
+            engines.push_back(engineOf(now, target, traits, reconciler));
         }
     }
     std::vector<replica_model> models;
--- /dev/null
+++ b/packages/gateway/lib/residency_reconciler.cpp
@@ -0,0 +1,334 @@
+/// \file
+/// Model orders. Adapters are handled in residency_adapters.cpp, reports and answers in residency_reports.cpp.
+#include "fuchsialoom/gateway/residency_reconciler.h"
+
+#include "held_models.h"
+
+#include <algorithm>
+
+namespace fuchsialoom
+{
+
+/// Delay from the announcement of an unload to its order, so that requests in transit still find the model.
+static constexpr milliseconds unloadDelay{120};
+/// Interval at which an unload in progress is announced again.
+static constexpr milliseconds reannounceInterval{1000};
+/// Remainder of `adapterDrainTime` after the handover between two lease holders, which takes 3 s on all deployments.
+static constexpr milliseconds adapterHoldAfterTakeover{2000};
+/// Minimum time between two lease holders' orders: loads that the previous holder ordered are at least this old when this
+/// one begins.
+static constexpr milliseconds minHandoverTime{3000};
+
+residency_reconciler::residency_reconciler(load_limits limits, decision_log &log)
+    : m_limits(limits)
+    , m_log(log)
+{
+}
+
+void residency_reconciler::reset(instant now)
+{
+    // The previous holder's last order is at least `minHandoverTime` old.
+    m_adapterMovesFrom = now + adapterHoldAfterTakeover;
+    // The previous holder may have used up the store's rate right before its term ended.
+    m_storeLoadsFrom = now + std::max(milliseconds(0), m_limits.window - minHandoverTime);
+    m_loadStarts.clear();
+    m_engines.clear();
+    m_adapterWants.clear();
+    m_plans.clear();
+    m_scheduledNews.clear();
+}
+
+void residency_reconciler::setTraits(const service_id &service, const engine_traits &traits)
+{
+    m_traits[service] = traits;
+}
+
+void residency_reconciler::setPlan(const service_id &service, residency_plan plan)
+{
+    m_plans[service] = std::move(plan);
+}
+
+const std::vector<held_model> *residency_reconciler::heldBy(const target_id &target) const
+{
+    const engine_report *report = reportOf(target);
+    return report ? &report->models : nullptr;
+}
+
+bool residency_reconciler::hasReport(const target_id &target) const
+{
+    return heldBy(target) != nullptr;
+}
+
+std::optional<model_id> residency_reconciler::unloadingFrom(const target_id &target) const
+{
+    const auto found = m_engines.find(target);
+    if (found == m_engines.end()) {
+        return std::nullopt;
+    }
+    const engine_state &state = found->second;
+    for (const std::optional<residency_order> *one : {&state.pendingUnload, &state.unanswered, &state.inProgress}) {
+        if (*one && !(*one)->load && (*one)->adapter.empty()) {
+            return (*one)->model;
+        }
+    }
+    return std::nullopt;
+}
+
+std::set<model_id> residency_reconciler::recentlyLoadedAt(instant now, const target_id &target) const
+{
+    std::set<model_id> recent;
+    const auto found = m_engines.find(target);
+    if (found == m_engines.end()) {
+        return recent;
+    }
+    for (const auto &[model, until] : found->second.recentlyLoadedUntil) {
+        if (now < until) {
+            recent.insert(model);
+        }
+    }
+    for (const std::optional<residency_order> *one : {&found->second.unanswered, &found->second.inProgress}) {
+        if (*one && (*one)->load && (*one)->adapter.empty()) {
+            recent.insert((*one)->model);
+        }
+    }
+    return recent;
+}
+
+const engine_report *residency_reconciler::reportOf(const target_id &target) const
+{
+    const auto found = m_engines.find(target);
+    return found == m_engines.end() || !found->second.reportValid ? nullptr : &found->second.report;
+}
+
+void residency_reconciler::trackListedEngines(const target_pool &pool)
+{
+    std::erase_if(m_engines, [&pool](const auto &entry) {
+        return pool.find(entry.first) == nullptr;
+    });
+    for (const auto &[id, target] : pool.targets()) {
+        if (target.listed.isEngine && m_traits.contains(target.listed.service)) {
+            m_engines[id].service = target.listed.service;
+        }
+    }
+}
+
+double residency_reconciler::megabytesOf(const engine_state &state, const engine_traits &traits) const
+{
+    double megabytes = 0;
+    for (const held_model &held : state.report.models) {
+        const served_model *model = traits.find(held.model);
+        if (!model) {
+            // The size is unknown, so assume that the engine is full.
+            return traits.megabytes;
+        }
+        megabytes += model->megabytes + model->adapterMegabytes * static_cast<double>(held.adapters.size());
+    }
+    return megabytes;
+}
+
+void residency_reconciler::issueOrder(instant now, engine_state &state, residency_order order, residency_actions &actions)
+{
+    order.expected = state.report.orderCount;
+    state.unanswered = order;
+    state.unansweredSince = now;
+    state.unansweredUsesStore = order.load && order.adapter.empty() && !state.report.cachedModels.contains(order.model);
+    m_lastOrder = now;
+    m_orders += 1;
+    m_log.write(now,
+                log_line("order")
+                    .with("target", order.target)
+                    .with("op", order.load ? "load" : "unload")
+                    .with("model", order.model)
+                    .with("adapter", order.adapter)
+                    .with("expected", order.expected));
+    actions.orders.push_back(std::move(order));
+}
+
+bool residency_reconciler::mayStartLoad(instant now, const engine_traits &traits, double loadSeconds)
+{
+    while (!m_loadStarts.empty() && now - m_loadStarts.front() > m_limits.window) {
+        m_loadStarts.pop_front();
+    }
+    const double windowSeconds = std::chrono::duration<double>(m_limits.window).count();
+    // An unanswered order may still be executed at any time, even after the window in which it was sent.
+    const auto unresolved = std::ranges::count_if(m_engines, [now, this](const auto &entry) {
+        return entry.second.unanswered && entry.second.unansweredUsesStore && now - entry.second.unansweredSince > m_limits.window;
+    });
+    const auto starts = static_cast<double>(m_loadStarts.size()) + static_cast<double>(unresolved);
+    if (now < m_storeLoadsFrom || starts + 1 > traits.loadsPerSecond * windowSeconds * m_limits.rateFactor) {
+        return false;
+    }
+    // More concurrent loads than the store serves at full speed would slow each other down.
+    const double atOnce = std::max(1.0, traits.loadsPerSecond * loadSeconds);
+    double underWay = 0;
+    for (const auto &[id, state] : m_engines) {
+        underWay += state.inProgress && state.inProgress->load ? 1 : 0;
+        underWay += state.unanswered && state.unanswered->load && state.unanswered->adapter.empty() ? 1 : 0;
+    }
+    return underWay + 1 <= atOnce;
+}
+
+std::size_t residency_reconciler::confirmedCopies(const model_id &model, const target_id &except, const target_pool &pool) const
+{
+    std::size_t copies = 0;
+    for (const auto &[id, state] : m_engines) {
+        const pool_target *target = pool.find(id);
+        if (id == except || !target || !target->takesNew() || !state.reportValid || !holdsModel(state.report.models, model)) {
+            continue;
+        }
+        const bool goes = (state.pendingUnload && state.pendingUnload->model == model)
+            || (state.unanswered && !state.unanswered->load && state.unanswered->model == model)
+            || (state.inProgress && state.inProgress->model == model);
+        copies += goes ? 0 : 1;
+    }
+    return copies;
+}
+
+/// Whether \p from may unload \p model: another engine certainly holds it, or the plan lists it as evictable.
+bool residency_reconciler::mayUnload(const model_id &model, const service_id &service, const target_id &from, const target_pool &pool) const
+{
+    const auto plan = m_plans.find(service);
+    return confirmedCopies(model, from, pool) > 0 || (plan != m_plans.end() && plan->second.evictable.contains(model));
+}
+
+bool residency_reconciler::isWanted(const model_id &model, const engine_state &state, const target_id &id) const
+{
+    const auto plan = m_plans.find(state.service);
+    const wanted_target *wanted = plan == m_plans.end() ? nullptr : plan->second.wanted.find(id);
+    return wanted && std::any_of(wanted->models.begin(), wanted->models.end(), [&model](const resident_model &one) {
+               return one.model == model;
+           });
+}
+
+/// Schedules the unload of a model that isn't planned for this engine and may be unloaded, and announces it.
+bool residency_reconciler::startUnloadForRoom(instant now,
+                                              const target_pool &pool,
+                                              engine_state &state,
+                                              const target_id &id,
+                                              residency_actions &actions)
+{
+    for (const held_model &held : state.report.models) {
+        if (isWanted(held.model, state, id) || !mayUnload(held.model, state.service, id, pool)) {
+            continue;
+        }
+        state.pendingUnload = residency_order{id, pool.find(id)->listed.address, false, held.model, {}, 0};
+        state.unloadAt = now + unloadDelay;
+        actions.news.push_back({id, held.model, {}, false});
+        return true;
+    }
+    return false;
+}
+
+bool residency_reconciler::startLoad(instant now, const target_pool &pool, const wanted_load &load, residency_actions &actions)
+{
+    const auto found = m_engines.find(load.target);
+    const pool_target *target = pool.find(load.target);
+    if (found == m_engines.end() || !target || !target->takesNew()) {
+        return false;
+    }
+    engine_state &state = found->second;
+    const engine_traits &traits = m_traits.at(state.service);
+    const served_model *model = traits.find(load.model);
+    if (!model || !state.reportValid || state.report.busy || state.unanswered || state.inProgress || state.pendingUnload
+        || holdsModel(state.report.models, load.model)) {
+        return false;
+    }
+    const bool fromStore = !state.report.cachedModels.contains(load.model);
+    if (fromStore && !mayStartLoad(now, traits, model->loadSeconds)) {
+        return false;
+    }
+    if (megabytesOf(state, traits) + model->megabytes > traits.megabytes) {
+        return startUnloadForRoom(now, pool, state, load.target, actions);
+    }
+    if (fromStore) {
+        m_loadStarts.push_back(now);
+    }
+    issueOrder(now, state, {load.target, target->listed.address, true, load.model, {}, 0}, actions);
+    return true;
+}
+
+void residency_reconciler::startPlannedLoads(instant now, const target_pool &pool, residency_actions &actions)
+{
+    for (const auto &[service, plan] : m_plans) {
+        for (const wanted_load &load : plan.wanted.loads) {
+            if (load.adapter.empty()) {
+                startLoad(now, pool, load, actions);
+            }
+        }
+    }
+}
+
+/// Issues the scheduled unloads whose announcement delay has passed.
+void residency_reconciler::startPendingUnloads(instant now, const target_pool &pool, residency_actions &actions)
+{
+    for (auto &[id, state] : m_engines) {
+        if (!state.pendingUnload || now < state.unloadAt || state.unanswered) {
+            continue;
+        }
+        const residency_order order = *state.pendingUnload;
+        state.pendingUnload.reset();
+        const bool isResident = state.reportValid && !state.report.busy && holdsModel(state.report.models, order.model);
+        // A later plan may place the model here again.
+        if (!isResident || isWanted(order.model, state, id) || !mayUnload(order.model, state.service, id, pool)) {
+            if (state.reportValid && holdsModel(state.report.models, order.model)) {
+                actions.news.push_back({id, order.model, {}, true});
+            }
+            continue;
+        }
+        issueOrder(now, state, order, actions);
+    }
+}
+
+void residency_reconciler::requestReports(instant now, residency_actions &actions)
+{
+    for (auto &[id, state] : m_engines) {
+        const bool needed = !state.reportValid || state.inProgress || state.report.busy;
+        if (needed && !state.reportRequested && !state.unanswered && now >= state.nextReportAt) {
+            state.reportRequested = true;
+            actions.reports.push_back(id);
+        }
+    }
+}
+
+/// Repeats the announcement of unloads in progress. An engine lists a model until its last request ends but refuses
+/// new ones, and VMs trust an announcement over the listing for only 3 s.
+void residency_reconciler::reannounceUnloads(instant now, residency_actions &actions)
+{
+    for (auto &[id, state] : m_engines) {
+        const bool unloads = state.inProgress && !state.inProgress->load;
+        if (unloads && now - state.lastAnnouncedAt > reannounceInterval) {
+            state.lastAnnouncedAt = now;
+            actions.news.push_back({id, state.inProgress->model, {}, false});
+        }
+    }
+}
+
+residency_actions residency_reconciler::step(instant now, const target_pool &pool)
+{
+    residency_actions actions;
+    trackListedEngines(pool);
+    for (auto &[id, state] : m_engines) {
+        if (state.unanswered && state.resendDue && now >= *state.resendDue) {
+            state.resendDue.reset();
+            m_lastOrder = now;
+            actions.orders.push_back(*state.unanswered);
+        }
+    }
+    serveAdapterWants(now, pool, actions);
+    prefetchAdapters(now, pool, actions);
+    startPendingUnloads(now, pool, actions);
+    startPlannedLoads(now, pool, actions);
+    requestReports(now, actions);
+    reannounceUnloads(now, actions);
+    for (const scheduled_news &due : m_scheduledNews) {
+        if (due.at <= now) {
+            actions.news.push_back(due.news);
+        }
+    }
+    std::erase_if(m_scheduledNews, [now](const scheduled_news &due) {
+        return due.at <= now;
+    });
+    return actions;
+}
+
+} // namespace fuchsialoom
