--- a/bench/replica_slope.cpp
+++ b/bench/replica_slope.cpp
@@ -76,7 +76,7 @@
     const double seconds = threadSeconds() - before;
     if (carryOut) {
         for (replica_engine &engine : made.engines) {
-            engine.held = plan.wanted.at(engine.target);
+            engine.held = plan.placement.at(engine.target);
         }
     }
     return seconds;
--- a/packages/gateway/include/fuchsialoom/gateway/replica_plan.h
+++ b/packages/gateway/include/fuchsialoom/gateway/replica_plan.h
@@ -2,8 +2,8 @@
 /// Plans the number of replicas of each model and the engines that hold them. A pure function of the models that
 /// engines hold and the demand for each model; returns the placement and the loads that lead to it.
 ///
-/// Slots are assigned one by one, each to the model with the most streams for each copy that it would then
-/// have (highest averages method), so that copies follow demand and no slot stays empty while some model is
+/// Copies are assigned one by one, each to the model with the most streams for each copy that it would then
+/// have (highest averages method), so that copies follow demand and no memory stays unused while some model is
 /// busy. A copy replaces another only if the gain exceeds the cost of the load. The gain counts from the end of the
 /// load, which takes from under a second (from the engine's own memory) to many seconds (from the weight store).
 #pragma once
@@ -49,7 +49,7 @@
 
 struct replica_plan
 {
-    std::map<target_id, std::set<model_id>> wanted;
+    std::map<target_id, std::set<model_id>> placement;
     std::vector<replica_load> loads; ///< ordered by streams for each copy, highest first
     std::set<model_id> evictable; ///< models without a planned copy, whose last copy may be unloaded
 };
--- a/packages/gateway/include/fuchsialoom/gateway/residency_reconciler.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_reconciler.h
@@ -6,7 +6,7 @@
 /// Memory is never overcommitted: an order is derived from a report of the engine, and only if the models
 /// in that report plus everything accepted since leave room for it. The engine executes it only while its order
 /// count still matches that state. An unanswered order is resent unchanged until the count shows that one of the
-/// copies was accepted.
+/// sends was accepted.
 #pragma once
 
 #include "fuchsialoom/core/wanted_placement.h"
@@ -80,7 +80,7 @@
 {
     wanted_placement wanted;
     std::set<model_id> evictable; ///< models whose last copy may be unloaded
-    std::set<model_id> busy; ///< models whose adapters are prefetched
+    std::set<model_id> busyModels; ///< models whose adapters are prefetched
 };
 
 /// Limits on loads from the weight store.
@@ -187,12 +187,12 @@
     void startPlannedLoads(instant now, const target_pool &pool, residency_actions &actions);
     bool startLoad(instant now, const target_pool &pool, const wanted_load &load, residency_actions &actions);
     bool startUnloadForRoom(instant now, const target_pool &pool, engine_state &state, const target_id &id, residency_actions &actions);
-    bool isWanted(const model_id &model, const engine_state &state, const target_id &id) const;
+    bool isPlanned(const model_id &model, const engine_state &state, const target_id &id) const;
     bool mayUnload(const model_id &model, const service_id &service, const target_id &from, const target_pool &pool) const;
     void startPendingUnloads(instant now, const target_pool &pool, residency_actions &actions);
     void requestReports(instant now, residency_actions &actions);
     void reannounceUnloads(instant now, residency_actions &actions);
-    void apply(engine_state &state, const residency_order &order);
+    void applyOrder(engine_state &state, const residency_order &order);
     void completeOrder(instant now, const target_id &id, engine_state &state);
     bool mayStartLoad(instant now, const engine_traits &traits, double loadSeconds);
     double megabytesOf(const engine_state &state, const engine_traits &traits) const;
--- a/packages/gateway/lib/replica_plan.cpp
+++ b/packages/gateway/lib/replica_plan.cpp
@@ -25,7 +25,7 @@
 static constexpr double recentLoadFactor = 3.0;
 /// Additional value in streams of a resident only copy over one still to be loaded, for each second of load time.
 static constexpr double residentBonus = 0.6;
-/// Cost of a slot for each stream that its engine already serves, as the models of an engine share its slots.
+/// Cost of a copy for each stream that its engine already serves, as the models of an engine share its request slots.
 static constexpr double engineLoadWeight = 0.3;
 /// Planning horizon in seconds: a copy counts for the part of it that remains after the load. Demand shifts within
 /// about 10 s, but a busy model needs its copies for longer than one shift.
@@ -55,7 +55,7 @@
 
     replica_plan run()
     {
-        std::set<std::size_t> unplaceable; // models for which no engine has an acceptable slot
+        std::set<std::size_t> unplaceable; // models that no engine can take at an acceptable cost
         const std::size_t maxSteps = m_engines.size() * m_models.size();
         for (std::size_t step = 0; step < maxSteps; ++step) {
             const std::optional<std::size_t> model = highestGainModel(unplaceable);
@@ -191,7 +191,7 @@
         return best;
     }
 
-    double loadOf(const engine_state &state) const
+    double assignedStreams(const engine_state &state) const
     {
         double streams = 0;
         for (const model_index model : state.held) {
@@ -215,7 +215,7 @@
         }
         placement_candidate candidate;
         candidate.engine = engine;
-        double load = loadOf(state);
+        double load = assignedStreams(state);
         if (state.freeMegabytes < m_models[model].megabytes) {
             for (const model_index other : state.held) {
                 const bool fits = state.freeMegabytes + m_models[other].megabytes >= m_models[model].megabytes;
@@ -243,7 +243,7 @@
             const std::optional<placement_candidate> candidate = candidateAt(engine, model);
             if (!candidate
                 || (candidate->victim && gain * candidate->servingShare < minExchangeRatio * candidate->loss
-                    && !outranksOnlyCopy(model, *candidate->victim))) {
+                    && !outweighsVictim(model, *candidate->victim))) {
                 continue;
             }
             if (!best || candidate->score < best->score) {
@@ -290,8 +290,8 @@
     }
 
     /// Whether \p model without a copy outweighs \p victim. Then `minExchangeRatio` isn't required, so that models
-    /// that compete for one slot alternate.
-    bool outranksOnlyCopy(std::size_t model, std::size_t victim) const
+    /// that compete for the memory of one copy alternate.
+    bool outweighsVictim(std::size_t model, std::size_t victim) const
     {
         return m_copies[model] == 0 && gainOf(model) > lossOf(victim);
     }
@@ -300,9 +300,9 @@
     {
         replica_plan plan;
         for (std::size_t engine = 0; engine < m_engines.size(); ++engine) {
-            std::set<model_id> &wanted = plan.wanted[m_engines[engine].target];
+            std::set<model_id> &placement = plan.placement[m_engines[engine].target];
             for (const model_index model : m_states[engine].held) {
-                wanted.insert(m_models[model].model);
+                placement.insert(m_models[model].model);
             }
         }
         for (std::size_t model = 0; model < m_models.size(); ++model) {
--- a/packages/gateway/lib/residency_adapters.cpp
+++ b/packages/gateway/lib/residency_adapters.cpp
@@ -166,7 +166,7 @@
         if (adaptersOf(state) + reservedAdapterSlots >= traits.adapterSlots) {
             continue;
         }
-        const std::optional<adapter_key> rarest = leastReplicatedAdapter(state, traits, plan->second.busy, copies);
+        const std::optional<adapter_key> rarest = leastReplicatedAdapter(state, traits, plan->second.busyModels, copies);
         if (!rarest || megabytesOf(state, traits) + traits.find(rarest->first)->adapterMegabytes > traits.megabytes) {
             continue;
         }
--- a/packages/gateway/lib/residency_plan.cpp
+++ b/packages/gateway/lib/residency_plan.cpp
@@ -10,18 +10,18 @@
 {
 
 /// Loads always fetch the newest version of the weights; there is no other at a time.
-static const version_id onlyVersion{"newest"};
+static const version_id newestVersion{"newest"};
 static constexpr double bytesPerMegabyte = 1e6;
 /// Planned streams for each running or waiting one, as requests arrive in bursts of three.
 static constexpr double headroom = 1.35;
 /// Seconds over which rising demand is extrapolated, in addition to a part of the load time: the unload that frees memory
 /// waits 1.5 to 3 s for running requests, and its order and announcement take 0.5 s.
-static constexpr double lookAhead = 2.0;
-/// Fraction of the load time from the weight store that is added to `lookAhead`.
-static constexpr double lookAheadOfLoad = 0.8;
+static constexpr double demandLookAheadSeconds = 2.0;
+/// Fraction of the load time from the weight store that is added to `demandLookAheadSeconds`.
+static constexpr double lookAheadLoadFraction = 0.8;
 
 /// Streams at which prefetching of a model's adapters starts; with fewer, an adapter is requested every few seconds.
-static constexpr double busyStreams = 3.0;
+static constexpr double prefetchMinStreams = 3.0;
 
 /// Memory of an engine for weights. Adapters change too often to be planned, so room for as many of the largest ones as
 /// fit the adapter slots is reserved.
@@ -34,7 +34,7 @@
     return traits.megabytes - largest * traits.adapterSlots;
 }
 
-static replica_model modelOf(const served_model &model, const demand_view &demand, const std::map<model_id, double> &unserved)
+static replica_model replicaModelOf(const served_model &model, const demand_view &demand, const std::map<model_id, double> &unserved)
 {
     replica_model made;
     made.model = model.model;
@@ -44,15 +44,17 @@
     made.memorySeconds = model.memoryLoadSeconds;
     const auto streams = demand.models().find(model.model);
     if (streams != demand.models().end()) {
-        made.streams = headroom * demand_view::projected(streams->second, lookAhead + lookAheadOfLoad * model.loadSeconds);
+        made.streams =
+            headroom * demand_view::projected(streams->second, demandLookAheadSeconds + lookAheadLoadFraction * model.loadSeconds);
         made.recentPeakStreams = headroom * streams->second.remembered;
     }
-    const auto waited = unserved.find(model.model);
-    made.waitingStreams = waited == unserved.end() ? 0 : waited->second;
+    const auto unservedEntry = unserved.find(model.model);
+    made.waitingStreams = unservedEntry == unserved.end() ? 0 : unservedEntry->second;
     return made;
 }
 
-static replica_engine engineOf(instant now, const pool_target &target, const engine_traits &traits, const residency_reconciler &reconciler)
+static replica_engine
+replicaEngineOf(instant now, const pool_target &target, const engine_traits &traits, const residency_reconciler &reconciler)
 {
     replica_engine made;
     made.target = target.listed.id;
@@ -74,22 +76,22 @@
     return made;
 }
 
-static residency_plan residencyOf(const replica_plan &replicas, const engine_traits &traits)
+static residency_plan residencyPlanOf(const replica_plan &replicas, const engine_traits &traits)
 {
     const auto bytesOf = [&traits](const model_id &model) {
         const served_model *known = traits.find(model);
         return known ? static_cast<std::uint64_t>(known->megabytes * bytesPerMegabyte) : 0;
     };
     residency_plan plan;
-    for (const auto &[target, models] : replicas.wanted) {
+    for (const auto &[target, models] : replicas.placement) {
         wanted_target wanted{target, {}, {}};
         for (const model_id &model : models) {
-            wanted.models.push_back({model, onlyVersion, bytesOf(model)});
+            wanted.models.push_back({model, newestVersion, bytesOf(model)});
         }
         plan.wanted.targets.push_back(std::move(wanted));
     }
     for (const replica_load &load : replicas.loads) {
-        plan.wanted.loads.push_back({load.target, load.model, onlyVersion, {}, bytesOf(load.model), move_cause::Demand});
+        plan.wanted.loads.push_back({load.target, load.model, newestVersion, {}, bytesOf(load.model), move_cause::Demand});
     }
     plan.evictable = replicas.evictable;
     return plan;
@@ -106,21 +108,21 @@
     std::vector<replica_engine> engines;
     for (const auto &[id, target] : pool.targets()) {
         if (target.listed.service == service && target.listed.isEngine && target.takesNew()) {
-            engines.push_back(engineOf(now, target, traits, reconciler));
+            engines.push_back(replicaEngineOf(now, target, traits, reconciler));
         }
     }
     std::vector<replica_model> models;
     for (const served_model &model : traits.models) {
-        models.push_back(modelOf(model, demand, unserved));
+        models.push_back(replicaModelOf(model, demand, unserved));
     }
     std::set<model_id> busy;
     for (const replica_model &model : models) {
-        if (model.streams >= busyStreams) {
+        if (model.streams >= prefetchMinStreams) {
             busy.insert(model.model);
         }
     }
-    residency_plan plan = residencyOf(planReplicas(std::move(engines), std::move(models)), traits);
-    plan.busy = std::move(busy);
+    residency_plan plan = residencyPlanOf(planReplicas(std::move(engines), std::move(models)), traits);
+    plan.busyModels = std::move(busy);
     return plan;
 }
 
--- a/packages/gateway/lib/residency_reconciler.cpp
+++ b/packages/gateway/lib/residency_reconciler.cpp
@@ -191,7 +191,7 @@
     return confirmedCopies(model, from, pool) > 0 || (plan != m_plans.end() && plan->second.evictable.contains(model));
 }
 
-bool residency_reconciler::isWanted(const model_id &model, const engine_state &state, const target_id &id) const
+bool residency_reconciler::isPlanned(const model_id &model, const engine_state &state, const target_id &id) const
 {
     const auto plan = m_plans.find(state.service);
     const wanted_target *wanted = plan == m_plans.end() ? nullptr : plan->second.wanted.find(id);
@@ -208,7 +208,7 @@
                                               residency_actions &actions)
 {
     for (const held_model &held : state.report.models) {
-        if (isWanted(held.model, state, id) || !mayUnload(held.model, state.service, id, pool)) {
+        if (isPlanned(held.model, state, id) || !mayUnload(held.model, state.service, id, pool)) {
             continue;
         }
         state.pendingUnload = residency_order{id, pool.find(id)->listed.address, false, held.model, {}, 0};
@@ -269,7 +269,7 @@
         state.pendingUnload.reset();
         const bool isResident = state.reportValid && !state.report.busy && holdsModel(state.report.models, order.model);
         // A later plan may place the model here again.
-        if (!isResident || isWanted(order.model, state, id) || !mayUnload(order.model, state.service, id, pool)) {
+        if (!isResident || isPlanned(order.model, state, id) || !mayUnload(order.model, state.service, id, pool)) {
             if (state.reportValid && holdsModel(state.report.models, order.model)) {
                 actions.news.push_back({id, order.model, {}, true});
             }
--- a/packages/gateway/lib/residency_reports.cpp
+++ b/packages/gateway/lib/residency_reports.cpp
@@ -107,7 +107,7 @@
     }
 }
 
-void residency_reconciler::apply(engine_state &state, const residency_order &order)
+void residency_reconciler::applyOrder(engine_state &state, const residency_order &order)
 {
     held_model *held = findModel(state.report.models, order.model);
     if (order.adapter.empty()) {
@@ -168,9 +168,9 @@
         break;
     }
     state.unanswered.reset();
-    const bool isAsync = result == order_result::Accepted && order.adapter.empty() && !order.load;
-    if (!isAsync) {
-        apply(state, order);
+    const bool appliesOnCompletion = result == order_result::Accepted && order.adapter.empty() && !order.load;
+    if (!appliesOnCompletion) {
+        applyOrder(state, order);
     }
     if (!order.load && !order.adapter.empty() && result == order_result::Accepted) {
         state.drainingAdapters[{order.model, order.adapter}] = now;
--- a/packages/gateway/unittests/replica_plan_test.cpp
+++ b/packages/gateway/unittests/replica_plan_test.cpp
@@ -55,7 +55,7 @@
                 engine.cachedModels.insert(model);
                 engine.memoryCachedModels.insert(model);
             }
-            engine.held = plan.wanted.at(engine.target);
+            engine.held = plan.placement.at(engine.target);
         }
     }
 
@@ -66,7 +66,7 @@
 std::size_t copiesIn(const replica_plan &plan, std::size_t model)
 {
     std::size_t copies = 0;
-    for (const auto &[target, models] : plan.wanted) {
+    for (const auto &[target, models] : plan.placement) {
         copies += models.contains(modelAt(model)) ? 1 : 0;
     }
     return copies;
@@ -80,8 +80,8 @@
 
 } // namespace
 
-/// Guards against idle memory: 34 models on 18 engines leave 20 places. Sized by request slots alone, 58 streams need only
-/// two engines, so those places stayed empty while the busy models' streams stalled during each other's prompts.
+/// Guards against idle memory: 34 models on 18 engines leave room for 20 more copies. Sized by request slots alone, 58 streams need only
+/// two engines, so that room stayed unused while the busy models' streams stalled during each other's prompts.
 TEST(replica_plan, freeMemoryGoesToBusyModelsByDemand)
 {
     replica_fixture fixture(18, withIdleModels(34, {58, 24, 17, 12}));
@@ -124,7 +124,7 @@
     fixture.models[3].streams = 200;
     const auto removedLoadsIn = [&first](const replica_plan &next) {
         return std::ranges::count_if(first.loads, [&next](const replica_load &load) {
-            return !next.wanted.at(load.target).contains(load.model);
+            return !next.placement.at(load.target).contains(load.model);
         });
     };
     const auto removedLoads = removedLoadsIn(fixture.plan());
@@ -154,7 +154,7 @@
     EXPECT_TRUE(fixture.plan().loads.empty());
 }
 
-/// 12 of 18 engines are left, with 36 places for 34 models. Four copies of the busiest serve 50 streams each. The busy
+/// 12 of 18 engines are left, with room for 36 copies of 34 models. Four copies of the busiest serve 50 streams each. The busy
 /// model already is on every engine with free memory, so another copy waits until a quiet model has moved there.
 TEST(replica_plan, onlyCopyIsRelocatedIfThereIsRoom)
 {
@@ -208,7 +208,7 @@
     EXPECT_EQ(plan.loads.front().target, fixture.engines[12].target);
 }
 
-/// Loads take 9 s from the store, 2.3 s from disk and 0.8 s from memory: a place is worth less the later it serves.
+/// Loads take 9 s from the store, 2.3 s from disk and 0.8 s from memory: a copy is worth less the later it serves.
 TEST(replica_plan, prefersFastestLoad)
 {
     replica_fixture fixture(18, withIdleModels(34, {40}));
@@ -217,7 +217,7 @@
         model.diskSeconds = 2.3;
         model.memorySeconds = 0.8;
     }
-    // Each engine has three free places; the weights are cached nowhere, on disk and in memory, respectively.
+    // Each engine has room for three models; the weights are cached nowhere, on disk and in memory, respectively.
     for (const std::size_t engine : {13U, 14U, 15U}) {
         fixture.engines[engine].held.clear();
     }
@@ -263,7 +263,7 @@
             const replica_plan plan = fixture.plan();
             for (const replica_engine &engine : fixture.engines) {
                 for (const replica_load &load : plan.loads) {
-                    ASSERT_TRUE(!engine.held.contains(load.model) || plan.wanted.at(engine.target).contains(load.model)) << seed;
+                    ASSERT_TRUE(!engine.held.contains(load.model) || plan.placement.at(engine.target).contains(load.model)) << seed;
                 }
             }
             fixture.execute(plan);
@@ -290,7 +290,7 @@
         }
     }
     const replica_plan plan = fixture.plan();
-    for (const auto &[target, models] : plan.wanted) {
+    for (const auto &[target, models] : plan.placement) {
         RC_ASSERT(models.size() <= 3U);
     }
     for (std::size_t model = 0; model < count; ++model) {
@@ -299,7 +299,7 @@
     for (const replica_engine &engine : fixture.engines) {
         for (const replica_load &load : plan.loads) {
             // A plan doesn't replace a resident copy by one of the same model that is still to be loaded.
-            RC_ASSERT(!engine.held.contains(load.model) || plan.wanted.at(engine.target).contains(load.model));
+            RC_ASSERT(!engine.held.contains(load.model) || plan.placement.at(engine.target).contains(load.model));
         }
     }
     std::size_t moved = plan.loads.size();
--- a/packages/gateway/unittests/residency_plan_test.cpp
+++ b/packages/gateway/unittests/residency_plan_test.cpp
@@ -57,7 +57,7 @@
         return model_id("m" + std::to_string(100 + index));
     }
 
-    void ask(const std::map<int, std::uint32_t> &running)
+    void setDemand(const std::map<int, std::uint32_t> &running)
     {
         std::vector<demand_entry> entries;
         entries.reserve(running.size());
@@ -100,7 +100,7 @@
 {
     makeModels(34);
     makeEngines(18);
-    ask({{0, 100}});
+    setDemand({{0, 100}});
     const residency_plan made = plan();
     EXPECT_GE(wantedCopies(made, modelAt(0)), 4U);
     EXPECT_TRUE(made.evictable.empty());
@@ -109,13 +109,13 @@
     }
 }
 
-/// Guards against one copy for each model where engines are few: 11 engines have 33 places for 34 models, and a model with
+/// Guards against one copy for each model where engines are few: 11 engines have room for 33 copies of 34 models, and a model with
 /// 142 requests was left with one engine of 32 slots.
 TEST_F(residency_plan_test, busyModelReplacesQuietOnesIfMemoryIsScarce)
 {
     makeModels(34);
     makeEngines(11);
-    ask({{0, 142}, {1, 54}, {2, 44}, {3, 24}});
+    setDemand({{0, 142}, {1, 54}, {2, 44}, {3, 24}});
     const residency_plan made = plan();
     EXPECT_GE(wantedCopies(made, modelAt(0)), 4U);
     EXPECT_GE(wantedCopies(made, modelAt(1)), 2U);
@@ -129,7 +129,7 @@
 {
     makeModels(34);
     makeEngines(11);
-    ask({{0, 142}, {1, 54}, {2, 44}, {3, 24}});
+    setDemand({{0, 142}, {1, 54}, {2, 44}, {3, 24}});
     const model_id lost = modelAt(33);
     EXPECT_EQ(wantedCopies(plan(), lost), 0U);
     EXPECT_GE(wantedCopies(plan({{lost, 5.0}}), lost), 1U);
--- a/packages/gateway/unittests/residency_reconciler_test.cpp
+++ b/packages/gateway/unittests/residency_reconciler_test.cpp
@@ -60,8 +60,8 @@
 
     reconciler_fixture(unsigned seed, int engines, double lost, double late)
         : m_random(seed)
-        , m_lost(lost)
-        , m_late(late)
+        , m_lossProbability(lost)
+        , m_delayProbability(late)
         , m_log(STDERR_FILENO, "test")
         , m_pool(domain_id("d"))
         , m_reconciler({seconds(5), 1.0}, m_log)
@@ -183,17 +183,17 @@
         return std::uniform_real_distribution<double>(0, 1)(m_random) < share;
     }
 
-    void schedule(milliseconds wait, std::function<void()> what)
+    void schedule(milliseconds wait, std::function<void()> event)
     {
-        m_due.emplace(m_now + wait, std::move(what));
+        m_due.emplace(m_now + wait, std::move(event));
     }
 
     void runDueEvents()
     {
         while (!m_due.empty() && m_due.begin()->first <= m_now) {
-            const auto what = std::move(m_due.begin()->second);
+            const auto event = std::move(m_due.begin()->second);
             m_due.erase(m_due.begin());
-            what();
+            event();
         }
     }
 
@@ -308,8 +308,8 @@
 
     void send(const residency_order &order)
     {
-        const bool lost = withProbability(m_lost);
-        const bool late = withProbability(m_late);
+        const bool lost = withProbability(m_lossProbability);
+        const bool late = withProbability(m_delayProbability);
         const milliseconds wait(late ? 2000 + static_cast<int>(m_random() % 10000) : 10);
         schedule(wait, [this, order, lost, late] {
             const auto found = m_engines.find(order.target);
@@ -326,8 +326,8 @@
     }
 
     std::mt19937 m_random;
-    double m_lost;
-    double m_late;
+    double m_lossProbability;
+    double m_delayProbability;
     decision_log m_log; ///< never flushed
     instant m_now = start;
     target_pool m_pool;
@@ -516,7 +516,7 @@
         reconciler.onReport(now, id, {});
     }
     reconciler.setPlan(service, plan);
-    const auto lose = [&] {
+    const auto dropAnswers = [&] {
         std::size_t orders = 0;
         for (const residency_order &order : reconciler.step(now, pool).orders) {
             reconciler.onOrdered(now, order, order_result::Unknown);
@@ -524,10 +524,10 @@
         }
         return orders;
     };
-    EXPECT_EQ(lose(), 5U) << "limit of the store within the window";
+    EXPECT_EQ(dropAnswers(), 5U) << "limit of the store within the window";
     for (int step = 0; step < 60; ++step) {
         now += milliseconds(200);
-        EXPECT_LE(lose(), 5U) << "only resends of the same orders";
+        EXPECT_LE(dropAnswers(), 5U) << "only resends of the same orders";
     }
     EXPECT_EQ(reconciler.orders(), 5U);
 }
@@ -549,7 +549,7 @@
             wanted[engine] = {first, (first + 1) % 6, (first + 2) % 6};
         }
         residency_plan plan = fixture.planOf(wanted);
-        plan.busy = busy;
+        plan.busyModels = busy;
         fixture.reconciler().setPlan(service, plan);
         fixture.run(seconds(2), [&fixture, &random] {
             if (random() % 5 == 0) {
@@ -592,17 +592,17 @@
     }
     fixture.run(milliseconds(300));
     residency_plan plan = fixture.planOf({{0, {0, 1}}, {1, {0, 1}}, {2, {0, 1}}});
-    plan.busy = {reconciler_fixture::modelAt(0)};
+    plan.busyModels = {reconciler_fixture::modelAt(0)};
     fixture.reconciler().setPlan(service, plan);
     fixture.run(seconds(2));
-    std::set<adapter_id> there;
+    std::set<adapter_id> prefetched;
     for (int engine = 0; engine < 3; ++engine) {
         const std::set<adapter_id> &held = fixture.engine(engine).held.at(reconciler_fixture::modelAt(0));
         EXPECT_EQ(held.size(), 2U);
-        there.insert(held.begin(), held.end());
+        prefetched.insert(held.begin(), held.end());
         EXPECT_TRUE(fixture.engine(engine).held.at(reconciler_fixture::modelAt(1)).empty());
     }
-    EXPECT_EQ(there.size(), 6U);
+    EXPECT_EQ(prefetched.size(), 6U);
     EXPECT_EQ(fixture.overloads(), 0);
 }
 
