--- a/packages/gateway/include/fuchsialoom/gateway/residency_controller.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_controller.h
@@ -33,10 +33,10 @@
 {
 public:
     residency_controller(lease_options options,
-                         load_limits limits,
+                         store_load_limits limits,
                          gateway &requests,
                          decision_log &log,
-                         residency_controller_callbacks calls);
+                         residency_controller_callbacks callbacks);
 
     /// Must be called about every 100 ms.
     void tick();
@@ -100,7 +100,7 @@
 private:
     instant clock() const
     {
-        return m_calls.boottimeClock();
+        return m_callbacks.boottimeClock();
     }
     void advanceLease();
     void updateLeaseState();
@@ -110,7 +110,7 @@
 
     gateway &m_gateway;
     decision_log &m_log;
-    residency_controller_callbacks m_calls;
+    residency_controller_callbacks m_callbacks;
     duty_lease m_lease;
     residency_reconciler m_reconciler;
     demand_view m_demand;
--- a/packages/gateway/include/fuchsialoom/gateway/residency_reconciler.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_reconciler.h
@@ -84,7 +84,7 @@
 };
 
 /// Limits on loads from the weight store.
-struct load_limits
+struct store_load_limits
 {
     milliseconds window{5000};
     double rateFactor = 1.0; ///< multiple of the store's rate that is allowed within the window
@@ -93,7 +93,7 @@
 class residency_reconciler
 {
 public:
-    residency_reconciler(load_limits limits, decision_log &log);
+    residency_reconciler(store_load_limits limits, decision_log &log);
 
     /// Discards all state after this VM took the lease over from another. Adapters that the previous holder unloaded
     /// may still be in use, which reports don't show.
@@ -143,14 +143,14 @@
 
     struct adapter_use
     {
-        instant askedAt{}; ///< when a request last named it
+        instant requestedAt{}; ///< when a request last named it
         instant runningAt{}; ///< when a request that uses it was last reported running
     };
 
     struct engine_state
     {
         service_id service;
-        bool reportValid = false; ///< false until a report arrives after a takeover, a conflict or a refusal
+        bool reportValid = false; ///< false until the first report, and again after a conflict or a refusal
         bool reportRequested = false; ///< a report was requested and hasn't arrived
         engine_report report; ///< the latest, updated with the orders accepted since
         /// Adapters whose unload waits for running requests, and when it was accepted. They count against the
@@ -195,13 +195,13 @@
     void applyOrder(engine_state &state, const residency_order &order);
     void completeOrder(instant now, const target_id &id, engine_state &state);
     bool mayStartLoad(instant now, const engine_traits &traits, double loadSeconds);
-    double megabytesOf(const engine_state &state, const engine_traits &traits) const;
-    std::size_t adaptersOf(const engine_state &state) const;
+    double usedMegabytes(const engine_state &state, const engine_traits &traits) const;
+    std::size_t adapterCount(const engine_state &state) const;
     std::size_t confirmedCopies(const model_id &model, const target_id &except, const target_pool &pool) const;
     /// The adapter that can be evicted at once: the least recently requested one that isn't in use.
     std::optional<adapter_key> leastRecentlyUsed(instant now, const engine_state &state) const;
 
-    load_limits m_limits;
+    store_load_limits m_limits;
     decision_log &m_log;
     std::map<service_id, engine_traits> m_traits;
     std::map<target_id, engine_state> m_engines;
--- a/packages/gateway/lib/residency_adapters.cpp
+++ b/packages/gateway/lib/residency_adapters.cpp
@@ -19,7 +19,7 @@
 /// Adapter slots for each engine that prefetching leaves free for adapters that requests wait for.
 static constexpr std::size_t reservedAdapterSlots = 1;
 
-std::size_t residency_reconciler::adaptersOf(const engine_state &state) const
+std::size_t residency_reconciler::adapterCount(const engine_state &state) const
 {
     std::size_t count = state.drainingAdapters.size();
     for (const held_model &held : state.report.models) {
@@ -39,11 +39,11 @@
         for (const adapter_id &adapter : held.adapters) {
             const auto known = m_adapterUses.find({held.model, adapter});
             const adapter_use use = known == m_adapterUses.end() ? adapter_use{} : known->second;
-            if (now - use.askedAt < adapterIdleTime || now - use.runningAt < adapterIdleTime) {
+            if (now - use.requestedAt < adapterIdleTime || now - use.runningAt < adapterIdleTime) {
                 continue;
             }
-            if (use.askedAt < leastAt) {
-                leastAt = use.askedAt;
+            if (use.requestedAt < leastAt) {
+                leastAt = use.requestedAt;
                 least = adapter_key(held.model, adapter);
             }
         }
@@ -60,7 +60,7 @@
 void residency_reconciler::recordAdapterUse(instant now, const model_id &model, const adapter_id &adapter, std::uint32_t running)
 {
     adapter_use &use = m_adapterUses[{model, adapter}];
-    use.askedAt = now;
+    use.requestedAt = now;
     if (running > 0) {
         use.runningAt = now;
     }
@@ -90,7 +90,7 @@
         if (state.unanswered || state.pendingUnload || (state.inProgress && state.inProgress->model == want.model)) {
             continue;
         }
-        const bool full = adaptersOf(state) >= traits->second.adapterSlots;
+        const bool full = adapterCount(state) >= traits->second.adapterSlots;
         // Evicting an adapter costs as much as 0.3 of an engine's load.
         const double load = static_cast<double>(target->inFlight()) / target->listed.slots + (full ? 0.3 : 0);
         if (!best || load < bestLoad) {
@@ -103,7 +103,7 @@
         return false;
     }
     const pool_target &target = *pool.find(bestId);
-    if (adaptersOf(*best) >= traits->second.adapterSlots) {
+    if (adapterCount(*best) >= traits->second.adapterSlots) {
         const std::optional<adapter_key> victim = leastRecentlyUsed(now, *best);
         if (!victim) {
             return false;
@@ -113,7 +113,7 @@
         return false;
     }
     const served_model *model = traits->second.find(want.model);
-    if (!model || megabytesOf(*best, traits->second) + model->adapterMegabytes > traits->second.megabytes) {
+    if (!model || usedMegabytes(*best, traits->second) + model->adapterMegabytes > traits->second.megabytes) {
         return false;
     }
     issueOrder(now, *best, {bestId, target.listed.address, true, want.model, want.adapter, 0}, actions);
@@ -163,11 +163,11 @@
             continue;
         }
         const engine_traits &traits = m_traits.at(state.service);
-        if (adaptersOf(state) + reservedAdapterSlots >= traits.adapterSlots) {
+        if (adapterCount(state) + reservedAdapterSlots >= traits.adapterSlots) {
             continue;
         }
         const std::optional<adapter_key> rarest = leastReplicatedAdapter(state, traits, plan->second.busyModels, copies);
-        if (!rarest || megabytesOf(state, traits) + traits.find(rarest->first)->adapterMegabytes > traits.megabytes) {
+        if (!rarest || usedMegabytes(state, traits) + traits.find(rarest->first)->adapterMegabytes > traits.megabytes) {
             continue;
         }
         copies[*rarest] += 1;
@@ -201,7 +201,7 @@
             }
             const auto count = copies.find(key);
             const auto use = m_adapterUses.find(key);
-            const instant unasked = farFuture - (use == m_adapterUses.end() ? instant{} : use->second.askedAt).time_since_epoch();
+            const instant unasked = farFuture - (use == m_adapterUses.end() ? instant{} : use->second.requestedAt).time_since_epoch();
             const std::tuple rank(count == copies.end() ? 0 : count->second, unasked);
             if (!rarest || rank < least) {
                 rarest = key;
--- a/packages/gateway/lib/residency_controller.cpp
+++ b/packages/gateway/lib/residency_controller.cpp
@@ -16,14 +16,14 @@
 /// A model with fewer streams counts as not requested.
 static constexpr double minDemandStreams = 0.05;
 residency_controller::residency_controller(lease_options options,
-                                           load_limits limits,
+                                           store_load_limits limits,
                                            gateway &requests,
                                            decision_log &log,
-                                           residency_controller_callbacks calls)
+                                           residency_controller_callbacks callbacks)
     : m_gateway(requests)
     , m_log(log)
-    , m_calls(std::move(calls))
-    , m_lease(std::move(options), m_calls.boottimeClock())
+    , m_callbacks(std::move(callbacks))
+    , m_lease(std::move(options), m_callbacks.boottimeClock())
     , m_reconciler(limits, log)
 {
 }
@@ -52,10 +52,10 @@
     case lease_action::None:
         break;
     case lease_action::Read:
-        m_calls.readLease();
+        m_callbacks.readLease();
         break;
     case lease_action::Append:
-        m_calls.appendLease(m_lease.nextRecord(), m_lease.end());
+        m_callbacks.appendLease(m_lease.nextRecord(), m_lease.end());
         break;
     }
 }
@@ -187,10 +187,10 @@
     }
     const residency_actions actions = m_reconciler.step(loopNow(), m_gateway.pool());
     if (!actions.news.empty()) {
-        m_calls.tellNews(actions.news);
+        m_callbacks.tellNews(actions.news);
     }
     for (const target_id &target : actions.reports) {
-        m_calls.requestReport(target);
+        m_callbacks.requestReport(target);
     }
     for (const residency_order &order : actions.orders) {
         const instant now = clock();
@@ -199,7 +199,7 @@
             continue;
         }
         m_lease.noteOrder(now);
-        m_calls.sendOrder(order, m_lease.fence());
+        m_callbacks.sendOrder(order, m_lease.fence());
     }
 }
 
--- a/packages/gateway/lib/residency_reconciler.cpp
+++ b/packages/gateway/lib/residency_reconciler.cpp
@@ -19,7 +19,7 @@
 /// one begins.
 static constexpr milliseconds minHandoverTime{3000};
 
-residency_reconciler::residency_reconciler(load_limits limits, decision_log &log)
+residency_reconciler::residency_reconciler(store_load_limits limits, decision_log &log)
     : m_limits(limits)
     , m_log(log)
 {
@@ -112,7 +112,7 @@
     }
 }
 
-double residency_reconciler::megabytesOf(const engine_state &state, const engine_traits &traits) const
+double residency_reconciler::usedMegabytes(const engine_state &state, const engine_traits &traits) const
 {
     double megabytes = 0;
     for (const held_model &held : state.report.models) {
@@ -237,7 +237,7 @@
     if (fromStore && !mayStartLoad(now, traits, model->loadSeconds)) {
         return false;
     }
-    if (megabytesOf(state, traits) + model->megabytes > traits.megabytes) {
+    if (usedMegabytes(state, traits) + model->megabytes > traits.megabytes) {
         return startUnloadForRoom(now, pool, state, load.target, actions);
     }
     if (fromStore) {
--- a/packages/gateway/unittests/residency_reconciler_test.cpp
+++ b/packages/gateway/unittests/residency_reconciler_test.cpp
@@ -33,7 +33,7 @@
     int overloads = 0;
     std::deque<std::pair<instant, engine_report>> reportHistory; ///< source of delayed reports
 
-    double used(const std::map<model_id, double> &sizes, double adapterSize) const
+    double usedMegabytes(const std::map<model_id, double> &sizes, double adapterSize) const
     {
         double sum = 0;
         for (const auto &[model, adapters] : held) {
@@ -235,7 +235,7 @@
         }
         one.orderCount += 1;
         if (order.load) {
-            one.overloads += one.used(m_sizes, adapterSize) + modelSize > one.megabytes ? 1 : 0;
+            one.overloads += one.usedMegabytes(m_sizes, adapterSize) + modelSize > one.megabytes ? 1 : 0;
             one.held[order.model];
         }
         one.inProgress = order;
