--- a/packages/gateway/lib/residency_controller.cpp
+++ b/packages/gateway/lib/residency_controller.cpp
@@ -15,6 +15,7 @@
 static constexpr double waitingStreamsPerSecond = 0.3;
 /// A model with fewer streams counts as not requested.
 static constexpr double minDemandStreams = 0.05;
+
 residency_controller::residency_controller(lease_options options,
                                            store_load_limits limits,
                                            gateway &requests,
