--- a/packages/gateway/include/fuchsialoom/gateway/residency_controller.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_controller.h
@@ -5,7 +5,7 @@
 
 #include "fuchsialoom/gateway/demand_view.h"
 #include "fuchsialoom/gateway/duty_lease.h"
-#include "fuchsialoom/gateway/duty_sight.h"
+#include "fuchsialoom/gateway/duty_forecast.h"
 #include "fuchsialoom/gateway/gateway.h"
 #include "fuchsialoom/gateway/residency_reconciler.h"
 
@@ -119,7 +119,7 @@
     instant m_nextPlanAt{};
     std::map<model_id, double> m_unserved; ///< requested models that no engine holds, with the streams that their waiting counts as
     instant m_unservedAt{};
-    duty_sight m_sight; ///< when other lease holders were heard; on the event loop's clock
+    duty_forecast m_sight; ///< when other lease holders were heard; on the event loop's clock
 };
 
 /// Computes the placement of models on \p service's engines from the demand for each model. \p unserved: models that
--- a/packages/gateway/lib/residency_adapters.cpp
+++ b/packages/gateway/lib/residency_adapters.cpp
@@ -195,7 +195,7 @@
             continue;
         }
         for (std::uint32_t number = 1; number <= model->adapters; ++number) {
-            const adapter_key key(held.model, adapterAt(number));
+            const adapter_key key(held.model, numberedAdapter(number));
             if (held.adapters.contains(key.second) || state.drainingAdapters.contains(key)) {
                 continue;
             }
--- a/packages/gateway/lib/residency_controller.cpp
+++ b/packages/gateway/lib/residency_controller.cpp
@@ -215,7 +215,7 @@
 void residency_controller::onDemand(const vm_id &vm, const std::vector<demand_entry> &demand)
 {
     const instant now = loopNow();
-    m_demand.tell(now, vm, demand);
+    m_demand.setDemand(now, vm, demand);
     for (const demand_entry &entry : demand) {
         if (!entry.adapter.empty()) {
             m_reconciler.recordAdapterUse(now, entry.model, entry.adapter, entry.running);
@@ -233,7 +233,7 @@
 
 void residency_controller::onHolderHeard(milliseconds wait)
 {
-    m_sight.hear(loopNow(), wait);
+    m_sight.noteHolder(loopNow(), wait);
     m_lease.onHolderHeard(clock());
 }
 
@@ -269,7 +269,7 @@
 
 void residency_controller::onLeaseMoved()
 {
-    m_lease.onMoved(clock());
+    m_lease.onAppendConflict(clock());
     m_log.write(loopNow(), log_line("duty-log-moved").with("fence", m_lease.fence()));
     advanceLease();
 }
--- a/packages/gateway/unittests/residency_plan_test.cpp
+++ b/packages/gateway/unittests/residency_plan_test.cpp
@@ -37,7 +37,7 @@
     void makeEngines(int count)
     {
         for (int engine = 0; engine < count; ++engine) {
-            listed_upstream made;
+            target_listing made;
             made.id = target_id("e" + std::to_string(10 + engine));
             made.service = service;
             made.isEngine = true;
@@ -66,7 +66,7 @@
         }
         m_view.setMemory(1.2);
         for (int step = 0; step <= 40; ++step) {
-            m_view.tell(start + milliseconds(100) * step, vm_id("a"), entries);
+            m_view.setDemand(start + milliseconds(100) * step, vm_id("a"), entries);
             m_view.advance(start + milliseconds(100) * step);
         }
     }
--- a/packages/gateway/unittests/residency_reconciler_test.cpp
+++ b/packages/gateway/unittests/residency_reconciler_test.cpp
@@ -275,7 +275,7 @@
     {
         for (const auto &[id, one] : m_engines) {
             if (m_pool.find(id) == nullptr) {
-                listed_upstream listed;
+                target_listing listed;
                 listed.id = id;
                 listed.service = service;
                 listed.slots = 8;
