--- a/packages/fleet/include/fuchsialoom/fleet/fleet_node.h
+++ b/packages/fleet/include/fuchsialoom/fleet/fleet_node.h
@@ -1,15 +1,17 @@
 /// \file
-/// One VM's part in telling the fleet what it does, and in knowing what the fleet does. Sans-I/O.
+/// One VM's participation in the exchange of state (in-flight requests, demand, residency, membership) between the VMs
+/// of the fleet. Sans-I/O.
 ///
-/// VMs that relay tell each other; the others tell their relay alone and hear of everybody from it. So what a VM sends
-/// and receives doesn't grow with the fleet, and a word reaches every VM in three hops. The picture that a VM has of
-/// the fleet is at most as old as the sum of three note intervals, or three whole-word intervals where notes are lost.
+/// Relays exchange messages with each other. Every other VM is a member of one relay: it sends to that relay only and
+/// receives the state of the whole fleet from it. This bounds the traffic of a VM independently of the fleet's size, and
+/// an update reaches every VM in three hops. A VM's view of the fleet is at most three delta intervals old, or three
+/// digest intervals where deltas are lost.
 #pragma once
 
-#include "fuchsialoom/fleet/flight_ledger.h"
-#include "fuchsialoom/fleet/relay_choice.h"
-#include "fuchsialoom/fleet/roster.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/in_flight_tracker.h"
+#include "fuchsialoom/fleet/membership_view.h"
+#include "fuchsialoom/fleet/messages.h"
+#include "fuchsialoom/fleet/relay_selection.h"
 
 #include <functional>
 #include <map>
@@ -19,15 +21,15 @@
 namespace fuchsialoom
 {
 
-/// What an operator is told of the fleet.
+/// Changes of the fleet that are reported to operators.
 enum class fleet_change {
-    RelayHeard, ///< another relay is there
-    RelaySilent, ///< another relay counts as gone
-    MemberJoined, ///< this VM relays for another
+    RelayHeard, ///< another relay was heard
+    RelaySilent, ///< another relay exceeded its suspect timeout
+    MemberJoined, ///< this VM now relays for another
     MemberSilent,
     BecameRelay,
     BecameMember,
-    RelayChosen, ///< this VM's words go to this relay now
+    RelayChosen, ///< this VM now sends to this relay
 };
 
 template<>
@@ -44,47 +46,48 @@
     });
 };
 
-/// What the host of a fleet_node tells and is told.
+/// Callbacks from a fleet_node to its host.
 struct fleet_events
 {
-    /// This VM's own configuration version, holder, flights and demand, whether it stops, what it renounced.
-    std::function<peer_digest()> compose;
-    std::function<flight_counts()> changedFlights; ///< own, since the last call
-    /// What \p source tells of flights; \p isWhole: in place of all that it told before.
-    std::function<void(const vm_id &source, const flight_counts &flights, bool isWhole)> onFlights;
-    std::function<void(const vm_id &source)> onForgotten; ///< its flights count no more
+    /// \return a digest with this VM's configuration version, held fence, in-flight requests, demand, whether it is stopping,
+    /// and the fence it renounced.
+    std::function<peer_digest()> makeDigest;
+    std::function<in_flight_counts()> takeChangedInFlight; ///< this VM's own, since the last call
+    /// In-flight counts reported by \p source. \p isFull: they replace all its earlier counts; else they update them.
+    std::function<void(const vm_id &source, const in_flight_counts &inFlight, bool isFull)> onFlights;
+    std::function<void(const vm_id &source)> onSourceRemoved; ///< its in-flight counts no longer apply
     std::function<void(const vm_id &source, const std::vector<demand_entry> &demand)> onDemand;
-    std::function<void(const adapter_want &want)> onWant;
-    std::function<void(const residency_news &news)> onNews;
-    std::function<void(milliseconds wait)> onHolder; ///< another VM holds the duty and orders after this
-    std::function<void(const renounced_fence &word)> onRenounced;
+    std::function<void(const adapter_request &adapterRequest)> onWant;
+    std::function<void(const residency_change &residencyChanges)> onResidencyChange;
+    std::function<void(milliseconds wait)> onHolderAnnounced; ///< another VM holds the duty and sends orders only after \p wait
+    std::function<void(const renounced_fence &message)> onRenounced;
     std::function<void(const vm_id &vm, std::uint64_t version)> onConfigVersion;
-    std::function<void(std::size_t live)> onLiveVms; ///< of the fleet, this one among them
+    std::function<void(std::size_t live)> onLiveVms; ///< in the fleet, including this one
     std::function<void(fleet_change change, const vm_id &vm)> onChange;
 };
 
-/// Datagrams to be sent now.
+/// Datagrams to send now.
 struct fleet_outbox
 {
-    struct digest_out
+    struct outgoing_digest
     {
         peer_digest digest;
         std::vector<endpoint> to;
     };
-    struct note_out
+    struct outgoing_delta
     {
-        flight_note note;
+        delta_message delta;
         std::vector<endpoint> to;
     };
-    struct relay_out
+    struct outgoing_relay_update
     {
-        relay_word word;
-        std::vector<std::pair<endpoint, flight_counts>> to; ///< with what each one is to leave out
+        relay_update message;
+        std::vector<std::pair<endpoint, in_flight_counts>> to; ///< with each receiver's own in-flight counts, which it subtracts
     };
 
-    std::vector<digest_out> digests;
-    std::vector<note_out> notes;
-    std::vector<relay_out> relayWords;
+    std::vector<outgoing_digest> digests;
+    std::vector<outgoing_delta> deltas;
+    std::vector<outgoing_relay_update> relayUpdates;
 };
 
 class fleet_node
@@ -92,34 +95,34 @@
 public:
     fleet_node(vm_record self, std::uint64_t incarnation, fleet_events events);
 
-    /// A VM has registered.
+    /// Adds the record of a registered VM.
     void know(instant now, vm_record record);
-    /// An address where a VM may be, whose record isn't known.
+    /// Adds the address of a possible VM whose record isn't known.
     void addSeed(instant now, const endpoint &address);
 
     void onDatagram(instant now, const peer_datagram &datagram, const endpoint &from);
 
-    /// \name What this VM has to tell.
+    /// \name Changes of this VM's state to send to others.
     /// @{
-    /// Flights changed.
+    /// This VM's in-flight counts changed.
     void noteFlights(instant now);
-    void raiseWant(instant now, const adapter_want &want);
-    void tellNews(instant now, const std::vector<residency_news> &news);
-    /// Something else in the digest changed that others wait for.
+    void raiseWant(instant now, const adapter_request &adapterRequest);
+    void tellNews(instant now, const std::vector<residency_change> &residencyChanges);
+    /// Schedules an early digest, since something else in it changed that other VMs wait for.
     void hasten(instant now);
     /// @}
 
-    /// When advance() has something to do next.
+    /// When advance() is due next.
     instant nextAt() const;
     fleet_outbox advance(instant now);
 
     bool isRelay() const
     {
-        return m_choice.isRelay();
+        return m_relaySelection.isRelay();
     }
-    /// The record of the VM that relays for this one, while it does.
+    /// The record of this VM's relay, while the relay answers; else null.
     const vm_record *servingRelay(instant now) const;
-    /// Other relays that are heard.
+    /// Other relays that are within their suspect timeout.
     std::vector<vm_record> liveRelays() const;
     std::size_t memberCount() const
     {
@@ -129,7 +132,7 @@
     {
         return m_liveVms;
     }
-    /// This VM's place among those that may hold the duty, which are the relays; the first place is 0.
+    /// This VM's rank, from 0, among the live relays, which are the candidates for the duty; nothing if it isn't a relay.
     std::optional<std::size_t> dutyRank() const;
 
 private:
@@ -138,7 +141,7 @@
         endpoint address;
         std::uint32_t vms = 1;
         instant heardAt{};
-        instant silentAt{}; ///< counts as gone from here on
+        instant silentAt{}; ///< end of the suspect timeout
         bool live = true;
     };
     struct member_state
@@ -147,7 +150,7 @@
         instant silentAt{};
         std::vector<demand_entry> demand;
     };
-    struct seen_word
+    struct last_message
     {
         std::uint64_t incarnation = 0;
         std::uint64_t sequence = 0;
@@ -156,68 +159,68 @@
     {
         std::uint64_t fence = 0;
         instant ordersFrom{};
-        bool isMember = false; ///< of this VM, so that other relays hear of it from here alone
-        instant until{}; ///< the word counts no more from here on
+        bool isMember = false; ///< the holder is a member of this VM, so that only this VM's digests announce it to other relays
+        instant until{}; ///< expiry of this announcement
     };
 
-    bool isNews(const word_origin &origin);
-    word_origin nextOrigin();
+    bool acceptMessage(const message_origin &origin);
+    message_origin nextOrigin();
     void onDigest(instant now, const peer_digest &digest, const endpoint &from);
     void onLeave(instant now, const vm_id &vm);
     void onNotRelay(const vm_id &vm);
     void onMemberDigest(instant now, const peer_digest &digest, const endpoint &from);
     void onRelayDigest(instant now, const peer_digest &digest, const endpoint &from);
-    void onNote(instant now, const flight_note &note);
-    void onRelayWord(instant now, const member_word &word);
-    void takeFlights(instant now, const vm_id &source, const flight_counts &flights, bool isWhole);
-    void dropSource(const vm_id &source);
-    void hear(instant now, const std::optional<holder_word> &holder, bool fromMember);
-    void hearNews(instant now, const std::vector<residency_news> &news, bool fromMember);
+    void onDelta(instant now, const delta_message &delta);
+    void onRelayUpdate(instant now, const member_update &message);
+    void applyInFlight(instant now, const vm_id &source, const in_flight_counts &inFlight, bool isFull);
+    void removeSource(const vm_id &source);
+    void updateHolder(instant now, const std::optional<holder_announcement> &holder, bool fromMember);
+    void applyResidencyChanges(instant now, const std::vector<residency_change> &residencyChanges, bool fromMember);
     void updateRole(instant now);
     void expire(instant now);
-    void countLive(instant now);
-    void hastenNote(instant now);
-    std::size_t receivers() const;
-    std::vector<endpoint> meshAddresses() const;
+    void updateLiveVms(instant now);
+    void scheduleDelta(instant now);
+    std::size_t receiverCount() const;
+    std::vector<endpoint> relayAddresses() const;
     std::vector<demand_entry> groupDemand(const std::vector<demand_entry> &own) const;
-    std::optional<holder_word> holderAt(instant now) const;
-    void sendRequests(fleet_outbox &out);
-    void sendRequest(relay_request request, std::vector<endpoint> to, fleet_outbox &out);
-    void sendWhole(instant now, fleet_outbox &out);
-    void sendNotes(instant now, fleet_outbox &out);
-    fleet_outbox::relay_out relayOut(instant now, bool isWhole, flight_counts flights);
+    std::optional<holder_announcement> holderAt(instant now) const;
+    void sendRelayRequests(fleet_outbox &out);
+    void sendRelayRequest(relay_request request, std::vector<endpoint> to, fleet_outbox &out);
+    void sendDigests(instant now, fleet_outbox &out);
+    void sendDeltas(instant now, fleet_outbox &out);
+    fleet_outbox::outgoing_relay_update makeRelayUpdate(instant now, bool isFull, in_flight_counts inFlight);
 
     const vm_record m_self;
     const std::uint64_t m_incarnation;
     fleet_events m_events;
-    roster m_roster;
-    relay_choice m_choice;
-    std::map<endpoint, instant> m_seeds; ///< where VMs may be or relays were told of, and until when digests go there
-    std::map<vm_id, peer_state> m_relays; ///< other relays that were heard, while this VM relays
-    std::map<vm_id, member_state> m_members; ///< while this VM relays
-    std::map<vm_id, seen_word> m_seen; ///< the latest word of each process; bounded
-    flight_ledger m_group; ///< this VM and its members
-    flight_ledger m_all; ///< the whole fleet
-    std::map<adapter_want, instant> m_wants; ///< of this VM and its members, and when each was last raised
-    std::vector<adapter_want> m_newWants; ///< not told in a note yet
-    std::map<residency_news, instant> m_news; ///< to be told to everybody for a while, and since when
-    std::map<residency_news, instant> m_heardNews; ///< to be told to members alone
-    std::vector<residency_news> m_freshNews; ///< of m_news, not told in a note yet
-    std::vector<residency_news> m_freshHeardNews;
-    std::optional<known_holder> m_holder; ///< another VM
+    membership_view m_membership;
+    relay_selection m_relaySelection;
+    std::map<endpoint, instant> m_seeds; ///< addresses of possible VMs and of reported relays, with their expiry
+    std::map<vm_id, peer_state> m_relays; ///< other relays that were heard; used while this VM relays
+    std::map<vm_id, member_state> m_members; ///< used while this VM relays
+    std::map<vm_id, last_message> m_lastMessages; ///< latest message of each VM, to reject duplicates and reordered ones; bounded
+    in_flight_tracker m_groupInFlight; ///< of this VM and its members
+    in_flight_tracker m_fleetInFlight; ///< of the whole fleet
+    std::map<adapter_request, instant> m_adapterRequests; ///< of this VM and its members, with the time of the latest request
+    std::vector<adapter_request> m_unsentAdapterRequests; ///< not yet sent in a delta
+    std::map<residency_change, instant> m_residencyChanges; ///< to repeat to all receivers for a while, with the start time
+    std::map<residency_change, instant> m_changesForMembers; ///< from other relays, to forward to members only, with the start time
+    std::vector<residency_change> m_unsentChanges; ///< of m_residencyChanges, not yet sent in a delta
+    std::vector<residency_change> m_unsentChangesForMembers;
+    std::optional<known_holder> m_holder; ///< if it is another VM
     bool m_wasRelay = true;
-    bool m_holdsDuty = false; ///< as of the latest digest; needs the words of all relays
-    std::vector<endpoint> m_formerRelays; ///< to be told that they relay for this VM no more
-    std::vector<endpoint> m_mistaken; ///< to be told that this VM doesn't relay
-    std::vector<endpoint> m_mesh; ///< where a relay's words to other relays go, as of the latest advance()
-    std::optional<vm_id> m_flightsFrom; ///< the relay whose word of all flights is counted
+    bool m_holdsDuty = false; ///< as of the latest digest; a holder stays a relay, since it needs the messages of all relays
+    std::vector<endpoint> m_formerRelays; ///< to receive a Leave request
+    std::vector<endpoint> m_notRelayReceivers; ///< to receive a NotRelay request
+    std::vector<endpoint> m_relayAddresses; ///< receivers of a relay's messages to other relays, as of the latest advance()
+    std::optional<vm_id> m_inFlightSource; ///< the relay whose totals of the fleet's in-flight requests are used
     std::uint64_t m_sequence = 0;
-    instant m_wholeAt{};
-    instant m_lastWholeAt{};
-    instant m_noteAt = farFuture;
-    instant m_lastNoteAt{};
-    std::size_t m_liveVms = 1; ///< the most of late: a relay that is lost takes its members out of the count for a moment
-    instant m_liveHeldUntil{};
+    instant m_nextDigestAt{};
+    instant m_lastDigestAt{};
+    instant m_nextDeltaAt = farFuture;
+    instant m_lastDeltaAt{};
+    std::size_t m_liveVms = 1; ///< recent maximum: when a relay fails, its members briefly drop out of the count
+    instant m_liveVmsHeldUntil{};
 };
 
 } // namespace fuchsialoom
--- a/packages/fleet/include/fuchsialoom/fleet/flights.h
+++ b/packages/fleet/include/fuchsialoom/fleet/in_flight.h
@@ -1,5 +1,5 @@
 /// \file
-/// What VMs have in flight at targets, as they tell each other.
+/// In-flight counts per target, as VMs exchange them.
 #pragma once
 
 #include "fuchsialoom/support/ids.h"
@@ -11,8 +11,8 @@
 namespace fuchsialoom
 {
 
-/// A short name of a target between VMs: a hash of its id, so that counts of hundreds of targets fit into a datagram.
-/// Two targets with the same key are both taken for as busy as they are together.
+/// A hash of a target's id that identifies it in messages between VMs, so that the counts of hundreds of targets fit into a
+/// datagram. If the hashes of two targets collide, each is treated as having the in-flight requests of both.
 struct target_key
 {
     target_key() = default;
@@ -27,32 +27,32 @@
     std::uint32_t value = 0;
 };
 
-/// What is in flight at a target.
-struct target_flights
+/// The requests in flight at a target.
+struct target_in_flight
 {
     std::uint32_t requests = 0;
-    std::uint32_t unreadTokens = 0; ///< of prompts whose first event hasn't come
+    std::uint32_t unreadTokens = 0; ///< prompt tokens of requests that haven't produced their first event
 
     bool isNone() const
     {
         return requests == 0 && unreadTokens == 0;
     }
-    target_flights &operator+=(const target_flights &other)
+    target_in_flight &operator+=(const target_in_flight &other)
     {
         requests += other.requests;
         unreadTokens += other.unreadTokens;
         return *this;
     }
-    /// Counts that were told at different moments may not fit together: no count falls below 0.
-    target_flights &operator-=(const target_flights &other)
+    /// Clamps at 0, since counts reported at different times may be inconsistent.
+    target_in_flight &operator-=(const target_in_flight &other)
     {
         requests -= requests < other.requests ? requests : other.requests;
         unreadTokens -= unreadTokens < other.unreadTokens ? unreadTokens : other.unreadTokens;
         return *this;
     }
-    friend bool operator==(const target_flights &, const target_flights &) = default;
+    friend bool operator==(const target_in_flight &, const target_in_flight &) = default;
 };
 
-using flight_counts = std::map<target_key, target_flights>;
+using in_flight_counts = std::map<target_key, target_in_flight>;
 
 } // namespace fuchsialoom
--- a/packages/fleet/include/fuchsialoom/fleet/pacing.h
+++ b/packages/fleet/include/fuchsialoom/fleet/pacing.h
@@ -1,6 +1,6 @@
 /// \file
-/// How often a VM tells others, and after what silence it counts as gone. Every silence is measured against the
-/// interval that it watches; `pacing_test` checks that for fleets of all sizes.
+/// Send intervals and suspect timeouts. Each timeout is a multiple of the interval that it monitors; `pacing_test` checks
+/// this for fleets of all sizes.
 #pragma once
 
 #include "fuchsialoom/support/time.h"
@@ -11,24 +11,23 @@
 namespace fuchsialoom::pacing
 {
 
-/// From one whole word to the next, for a VM with so many receivers.
-milliseconds wholeEvery(std::size_t receivers);
+/// Interval between the full digests of a VM with \p receivers receivers.
+milliseconds digestInterval(std::size_t receivers);
 
-/// From one note to the next at the least, for a VM with so many receivers and \p capacity thousandths of a core.
-milliseconds noteEvery(std::size_t receivers, std::uint32_t capacity);
+/// Minimum interval between the deltas of a VM with \p receivers receivers and \p capacity thousandths of a core.
+milliseconds deltaInterval(std::size_t receivers, std::uint32_t capacity);
 
-/// Relays send each other a note at least so often, be it empty: whole words are longer apart in a large fleet.
-inline constexpr milliseconds signOfLife{150};
+/// Relays send each other a delta, possibly empty, at least this often, since digests are less frequent in a large fleet.
+inline constexpr milliseconds heartbeatInterval{150};
 
-/// A sender that announced its next word within \p due counts as gone after this: four words in a row were lost.
-milliseconds silenceOf(milliseconds due);
+/// Suspect timeout of a sender that announced its next message within \p nextWithin: four messages in a row were lost.
+milliseconds suspectTimeout(milliseconds nextWithin);
 
-/// What a VM with a few peers needs at the least before it takes another for gone: a process may stand still for some
-/// tenths of a second.
-inline constexpr milliseconds leastSilence{1000};
+/// Minimum suspect timeout, which matters to VMs with few peers: a process may be paused for some tenths of a second.
+inline constexpr milliseconds minSuspectTimeout{1000};
 
-/// What a VM that went silent had in flight and asked for is kept so long: its callers may still be served, and its
-/// members tell anew by another relay meanwhile.
-inline constexpr milliseconds keptWord{2000};
+/// The in-flight counts and demand of a silent VM are kept for this time: its callers may still be served, and meanwhile its
+/// members report again through another relay.
+inline constexpr milliseconds stateRetention{2000};
 
 } // namespace fuchsialoom::pacing
--- /dev/null
+++ b/packages/fleet/lib/relay_selection.cpp
@@ -0,0 +1,129 @@
+/// \file
+/// Selection of a relay.
+#include "fuchsialoom/fleet/relay_selection.h"
+
+#include "fuchsialoom/fleet/pacing.h"
+#include "fuchsialoom/support/hash.h"
+
+#include <algorithm>
+
+namespace fuchsialoom
+{
+
+/// How long a VM stays a relay after the last request to relay.
+static constexpr milliseconds relayRequestLifetime{3000};
+/// How long a relay that became silent isn't selected again.
+static constexpr milliseconds silentRelayAvoidance{5000};
+/// The same for a relay that never answered: it may be gone for good, since records outlive their VMs.
+static constexpr milliseconds unansweredRelayAvoidance{30000};
+/// The same for a relay that is stopping, which has ended by then.
+static constexpr milliseconds leavingRelayAvoidance{30000};
+/// A newly selected relay answers its first request at once.
+static constexpr milliseconds firstAnswerTimeout{600};
+
+relay_selection::relay_selection(vm_id self, domain_id domain)
+    : m_self(std::move(self))
+    , m_domain(std::move(domain))
+{
+}
+
+void relay_selection::onRelayHeard(instant now, const vm_id &relay, milliseconds nextWithin)
+{
+    if (m_relay == relay) {
+        m_served = true;
+        m_silentAt = now + pacing::suspectTimeout(nextWithin);
+    }
+}
+
+void relay_selection::setLive(std::vector<vm_id> relays)
+{
+    m_liveRelays = std::move(relays);
+}
+
+void relay_selection::leaving(instant now, const vm_id &relay)
+{
+    m_avoided[relay] = now + leavingRelayAvoidance;
+    if (m_relay == relay) {
+        m_silentAt = now;
+    }
+}
+
+void relay_selection::onRelayRequest(instant now)
+{
+    m_requestedUntil = now + relayRequestLifetime;
+}
+
+void relay_selection::clearRelayRequests()
+{
+    m_requestedUntil = {};
+}
+
+void relay_selection::update(instant now, const membership_view &known, bool keepRelaying)
+{
+    std::erase_if(m_avoided, [now](const auto &entry) {
+        return now >= entry.second;
+    });
+    if (m_relay && now >= m_silentAt) {
+        m_avoided.try_emplace(*m_relay, now + (m_served ? silentRelayAvoidance : unansweredRelayAvoidance));
+        m_relay.reset();
+    }
+    const std::vector<vm_record> &ranked = known.ranked(m_domain);
+    const std::size_t count = known.relayCount(m_domain);
+    const auto self = std::ranges::find(ranked, m_self, &vm_record::vm);
+    const bool isRanked = self == ranked.end() || static_cast<std::size_t>(self - ranked.begin()) < count;
+    m_isRelay = isRanked || keepRelaying || now < m_requestedUntil;
+    if (m_isRelay) {
+        m_relay.reset();
+        return;
+    }
+    if (!m_relay) {
+        selectFromRanking(now, ranked, count);
+    } else {
+        switchToPreferred(now, ranked, count);
+    }
+}
+
+void relay_selection::selectRelay(instant now, const vm_id &relay)
+{
+    m_relay = relay;
+    m_served = false;
+    m_silentAt = now + firstAnswerTimeout;
+    m_liveRelays.clear();
+}
+
+/// Switches to a relay of the first ranks once one is known to be alive. A lower-ranked VM may have been selected while these
+/// VMs were unreachable or unknown.
+void relay_selection::switchToPreferred(instant now, const std::vector<vm_record> &ranked, std::size_t count)
+{
+    std::vector<vm_id> first;
+    for (std::size_t at = 0; at < std::min(count, ranked.size()); ++at) {
+        const vm_id &vm = ranked[at].vm;
+        if (vm == m_relay) {
+            return;
+        }
+        if (std::ranges::find(m_liveRelays, vm) != m_liveRelays.end() && !m_avoided.contains(vm)) {
+            first.push_back(vm);
+        }
+    }
+    if (!first.empty()) {
+        selectRelay(now, first.at(hashOf(m_self.text()).value() % first.size()));
+    }
+}
+
+/// Spreads the members over the first VMs of the ranking that aren't avoided. A VM that is among these becomes a relay.
+void relay_selection::selectFromRanking(instant now, const std::vector<vm_record> &ranked, std::size_t count)
+{
+    std::vector<vm_id> first;
+    for (const vm_record &one : ranked) {
+        if (first.size() < count && !m_avoided.contains(one.vm)) {
+            first.push_back(one.vm);
+        }
+    }
+    if (std::ranges::find(first, m_self) != first.end()) {
+        m_isRelay = true;
+        return;
+    }
+    selectRelay(now, first.at(hashOf(m_self.text()).value() % first.size()));
+}
+
+} // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/demand_view.h
+++ b/packages/gateway/include/fuchsialoom/gateway/demand_view.h
@@ -3,7 +3,7 @@
 /// demand within a second or two and not every request. Sans-I/O.
 #pragma once
 
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 
 #include <map>
 #include <vector>
--- a/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
+++ b/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
@@ -15,7 +15,7 @@
 ///     A successor that hears so waits only for the turn time after that order.
 #pragma once
 
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/support/ids.h"
 #include "fuchsialoom/support/name_table.h"
 #include "fuchsialoom/support/time.h"
--- a/packages/gateway/include/fuchsialoom/gateway/gateway.h
+++ b/packages/gateway/include/fuchsialoom/gateway/gateway.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "fuchsialoom/core/admission_queue.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/gateway/decision_log.h"
 #include "fuchsialoom/gateway/drain_rules.h"
 #include "fuchsialoom/gateway/link_pool.h"
@@ -129,7 +129,7 @@
     void setLiveVms(std::size_t live);
 
     /// Called when a request waits for an adapter that no target with room holds.
-    void onWantedAdapter(std::function<void(const adapter_want &)> callback)
+    void onWantedAdapter(std::function<void(const adapter_request &)> callback)
     {
         m_onWantedAdapter = std::move(callback);
     }
@@ -212,7 +212,7 @@
     std::map<model_id, pace_meter> m_paces; ///< of the models that engines serve
     std::map<service_id, shared_budget> m_budgets;
     std::map<model_id, model_demand> m_demand;
-    std::function<void(const adapter_want &)> m_onWantedAdapter;
+    std::function<void(const adapter_request &)> m_onWantedAdapter;
     std::function<void()> m_onFlights;
     std::function<void(const target_id &)> m_onUnreachable;
     std::function<milliseconds()> m_timeToOrders;
--- a/packages/gateway/include/fuchsialoom/gateway/peer_exchange.h
+++ b/packages/gateway/include/fuchsialoom/gateway/peer_exchange.h
@@ -29,8 +29,8 @@
     /// \name What this VM has to tell; it goes out within some milliseconds.
     /// @{
     void noteFlights();
-    void raiseWant(const adapter_want &want);
-    void tellNews(const std::vector<residency_news> &news);
+    void raiseWant(const adapter_request &want);
+    void tellNews(const std::vector<residency_change> &news);
     void hasten();
     /// @}
 
--- a/packages/gateway/include/fuchsialoom/gateway/residency_duty.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_duty.h
@@ -23,7 +23,7 @@
     std::function<void(const lease_record &record, std::uint64_t onlyAt)> appendLease;
     std::function<void(const residency_order &order, std::uint64_t fence)> sendOrder;
     std::function<void(const target_id &target)> askReport;
-    std::function<void(const std::vector<residency_news> &news)> tellNews; ///< to all VMs, this one among them
+    std::function<void(const std::vector<residency_change> &news)> tellNews; ///< to all VMs, this one among them
     /// The clock that runs on while the VM is suspended.
     std::function<instant()> suspendedClock;
 };
@@ -49,7 +49,7 @@
     /// \name Word of the VMs, this one among them.
     /// @{
     void onDemand(const vm_id &vm, const std::vector<demand_entry> &demand);
-    void onWant(const adapter_want &want);
+    void onWant(const adapter_request &want);
     /// \p wait: it orders only after this.
     void onHolderHeard(milliseconds wait);
     void onRenounced(const renounced_fence &word);
--- a/packages/gateway/include/fuchsialoom/gateway/residency_keeper.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_keeper.h
@@ -10,7 +10,7 @@
 #pragma once
 
 #include "fuchsialoom/core/wanted_placement.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/gateway/decision_log.h"
 #include "fuchsialoom/gateway/target_pool.h"
 
@@ -72,7 +72,7 @@
 {
     std::vector<residency_order> orders;
     std::vector<target_id> reports; ///< engines to be asked for theirs
-    std::vector<residency_news> news; ///< for all VMs
+    std::vector<residency_change> news; ///< for all VMs
 };
 
 /// What a service's engines are to hold.
@@ -102,7 +102,7 @@
     void setTraits(const service_id &service, const engine_traits &traits);
 
     /// Requests wait for an adapter.
-    void want(instant now, const adapter_want &want);
+    void want(instant now, const adapter_request &want);
     /// Requests named an adapter, so that it isn't the next to make way.
     void used(instant now, const model_id &model, const adapter_id &adapter, std::uint32_t running = 0);
 
@@ -172,13 +172,13 @@
     struct due_news
     {
         instant at{};
-        residency_news news;
+        residency_change news;
     };
 
     void syncEngines(const target_pool &pool);
     void handOut(instant now, engine &at, residency_order order, residency_steps &steps);
     void serveWants(instant now, const target_pool &pool, residency_steps &steps);
-    bool serveWant(instant now, const target_pool &pool, const adapter_want &want, residency_steps &steps);
+    bool serveWant(instant now, const target_pool &pool, const adapter_request &want, residency_steps &steps);
     void prefetchAdapters(instant now, const target_pool &pool, residency_steps &steps);
     std::optional<adapter_key> rarestAdapter(const engine &at,
                                              const engine_traits &traits,
@@ -205,7 +205,7 @@
     decision_log &m_log;
     std::map<service_id, engine_traits> m_traits;
     std::map<target_id, engine> m_engines;
-    std::map<adapter_want, instant> m_wants; ///< and until when each holds
+    std::map<adapter_request, instant> m_wants; ///< and until when each holds
     std::map<adapter_key, adapter_use> m_used;
     std::map<service_id, residency_plan> m_plans;
     std::deque<instant> m_loadStarts; ///< of loads that may come from the weight store, oldest first
--- a/packages/gateway/include/fuchsialoom/gateway/target_pool.h
+++ b/packages/gateway/include/fuchsialoom/gateway/target_pool.h
@@ -4,8 +4,8 @@
 #pragma once
 
 #include "fuchsialoom/core/targets.h"
-#include "fuchsialoom/fleet/flight_ledger.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/in_flight_tracker.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/gateway/routes.h"
 
 #include <cstdint>
@@ -47,8 +47,8 @@
     listed_upstream listed; ///< with what is news
     std::vector<held_model> listedModels; ///< without
     target_key key; ///< of the listed id
-    target_flights own;
-    target_flights peers; ///< the sum of their latest words
+    target_in_flight own;
+    target_in_flight peers; ///< the sum of their latest words
     double trouble = 0; ///< share of late attempts that failed, decaying; 0 to 1
     instant troubleAt{}; ///< up to when `trouble` has decayed
     instant avoidUntil{}; ///< after a connection that couldn't be made, or silence
@@ -125,15 +125,15 @@
     /// @}
 
     /// \p news holds against the list's older word for a time.
-    void learn(instant now, const residency_news &news);
+    void learn(instant now, const residency_change &news);
 
     /// A target said that it doesn't hold this.
     void noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter);
 
     /// \p vm's counts, in place of its earlier ones; they lapse when it stays silent.
-    void setPeerFlights(instant now, const vm_id &vm, const flight_counts &counts);
+    void setPeerFlights(instant now, const vm_id &vm, const in_flight_counts &counts);
     /// Those that changed, zeros among them.
-    void changePeerFlights(instant now, const vm_id &vm, const flight_counts &changed);
+    void changePeerFlights(instant now, const vm_id &vm, const in_flight_counts &changed);
     void forgetPeerFlights(const vm_id &vm);
     void expirePeers(instant now);
     /// News that lapsed gives way to the list's word. \return whether any did.
@@ -162,9 +162,9 @@
     /// @}
 
     /// What this VM has in flight, for a whole digest.
-    flight_counts ownFlights() const;
+    in_flight_counts ownFlights() const;
     /// What changed of it since the last call, zeros among them.
-    flight_counts takeChangedFlights();
+    in_flight_counts takeChangedFlights();
 
     const pool_target *find(const target_id &id) const;
     const std::map<target_id, pool_target> &targets() const
@@ -181,12 +181,12 @@
 private:
     struct held_news
     {
-        residency_news news;
+        residency_change news;
         instant until{};
     };
 
     void applyNews(instant now, pool_target &target);
-    void setHeld(pool_target &target, const residency_news &news);
+    void setHeld(pool_target &target, const residency_change &news);
     double scoreOf(instant now, const pool_target &target, std::uint64_t draw) const;
     static std::uint32_t placesOf(const pool_target &target);
     /// Requests at \p target, as far as they can still be there.
@@ -197,7 +197,7 @@
     instant m_lastArrival{}; ///< when a target was last listed that wasn't known before
     bool m_settled = false;
     std::map<target_key, target_id> m_keys; ///< of the targets listed
-    flight_ledger m_peers;
+    in_flight_tracker m_peers;
     std::map<service_id, microseconds> m_runs; ///< of plain services: mean of the latest runs
     std::set<target_id> m_changedFlights; ///< own, not told yet
     std::map<target_id, std::vector<held_news>> m_news; ///< not yet certain to be in the list; bounded by time
--- a/packages/gateway/lib/peer_exchange.cpp
+++ b/packages/gateway/lib/peer_exchange.cpp
@@ -65,13 +65,13 @@
     armTimer();
 }
 
-void peer_exchange::raiseWant(const adapter_want &want)
+void peer_exchange::raiseWant(const adapter_request &want)
 {
     m_fleet.raiseWant(loopNow(), want);
     armTimer();
 }
 
-void peer_exchange::tellNews(const std::vector<residency_news> &news)
+void peer_exchange::tellNews(const std::vector<residency_change> &news)
 {
     m_fleet.tellNews(loopNow(), news);
     armTimer();
@@ -111,22 +111,22 @@
 
 void peer_exchange::send(const fleet_outbox &out)
 {
-    for (const fleet_outbox::digest_out &one : out.digests) {
+    for (const fleet_outbox::outgoing_digest &one : out.digests) {
         const std::string bytes = encodeDigest(one.digest);
         for (const endpoint &to : one.to) {
             sendTo(to, bytes);
         }
     }
-    for (const fleet_outbox::note_out &one : out.notes) {
-        const std::string bytes = encodeNote(one.note);
+    for (const fleet_outbox::outgoing_delta &one : out.deltas) {
+        const std::string bytes = encodeDelta(one.delta);
         for (const endpoint &to : one.to) {
             sendTo(to, bytes);
         }
     }
-    for (const fleet_outbox::relay_out &one : out.relayWords) {
-        const std::string word = encodeRelayWord(one.word);
-        for (const auto &[to, yours] : one.to) {
-            sendTo(to, encodeMemberWord(word, yours));
+    for (const fleet_outbox::outgoing_relay_update &one : out.relayUpdates) {
+        const std::string message = encodeRelayUpdate(one.message);
+        for (const auto &[to, receiverInFlight] : one.to) {
+            sendTo(to, encodeMemberUpdate(message, receiverInFlight));
         }
     }
 }
--- a/packages/gateway/lib/residency_adapters.cpp
+++ b/packages/gateway/lib/residency_adapters.cpp
@@ -51,7 +51,7 @@
     return least;
 }
 
-void residency_keeper::want(instant now, const adapter_want &want)
+void residency_keeper::want(instant now, const adapter_request &want)
 {
     m_wants[want] = now + wantHold;
     used(now, want.model, want.adapter);
@@ -66,7 +66,7 @@
     }
 }
 
-bool residency_keeper::serveWant(instant now, const target_pool &pool, const adapter_want &want, residency_steps &steps)
+bool residency_keeper::serveWant(instant now, const target_pool &pool, const adapter_request &want, residency_steps &steps)
 {
     const auto traits = m_traits.find(want.service);
     if (traits == m_traits.end()) {
--- a/packages/gateway/lib/residency_duty.cpp
+++ b/packages/gateway/lib/residency_duty.cpp
@@ -217,7 +217,7 @@
     }
 }
 
-void residency_duty::onWant(const adapter_want &want)
+void residency_duty::onWant(const adapter_request &want)
 {
     if (m_mayOrder) {
         m_keeper.want(loopNow(), want);
--- a/packages/gateway/lib/target_pool.cpp
+++ b/packages/gateway/lib/target_pool.cpp
@@ -63,7 +63,7 @@
 
 target_pool::target_pool(domain_id ownDomain)
     : m_ownDomain(std::move(ownDomain))
-    , m_peers([this](target_key key, const target_flights &sum) {
+    , m_peers([this](target_key key, const target_in_flight &sum) {
         const auto named = m_keys.find(key);
         if (named != m_keys.end()) {
             m_targets.at(named->second).peers = sum;
@@ -72,7 +72,7 @@
 {
 }
 
-void target_pool::setHeld(pool_target &target, const residency_news &news)
+void target_pool::setHeld(pool_target &target, const residency_change &news)
 {
     std::vector<held_model> &models = target.listed.models;
     const auto held = std::find_if(models.begin(), models.end(), [&news](const held_model &one) {
@@ -128,7 +128,7 @@
         m_lastArrival = now;
         entry.key = target_key(entry.listed.id);
         m_keys.insert_or_assign(entry.key, entry.listed.id);
-        entry.peers = m_peers.sumAt(entry.key);
+        entry.peers = m_peers.totalAt(entry.key);
     }
     return before != entry.listed;
 }
@@ -168,7 +168,7 @@
     }
 }
 
-void target_pool::learn(instant now, const residency_news &news)
+void target_pool::learn(instant now, const residency_change &news)
 {
     const auto found = m_targets.find(news.target);
     if (found == m_targets.end()) {
@@ -191,12 +191,12 @@
     learn(now, {id, model, adapter, false});
 }
 
-void target_pool::setPeerFlights(instant now, const vm_id &vm, const flight_counts &counts)
+void target_pool::setPeerFlights(instant now, const vm_id &vm, const in_flight_counts &counts)
 {
     m_peers.set(now, vm, counts);
 }
 
-void target_pool::changePeerFlights(instant now, const vm_id &vm, const flight_counts &changed)
+void target_pool::changePeerFlights(instant now, const vm_id &vm, const in_flight_counts &changed)
 {
     m_peers.change(now, vm, changed);
 }
@@ -237,7 +237,7 @@
         target.displaced = target.displaced && now < target.displacedUntil;
         target.unreachable = target.unreachable && now < target.unreachableUntil;
     }
-    m_peers.forgetSilent(now - peerSilence);
+    m_peers.removeStale(now - peerSilence);
 }
 
 /// Requests that a target gets at once. An engine queues more, but what waits there waits in the order
@@ -254,7 +254,7 @@
         return target.inFlight();
     }
     const instant oldest = now - runsTold * run->second - wordTime;
-    return target.own.requests + m_peers.requestsToldSince(target.key, oldest);
+    return target.own.requests + m_peers.requestsReportedSince(target.key, oldest);
 }
 
 void target_pool::noteRun(const service_id &service, milliseconds length)
@@ -344,7 +344,7 @@
 {
     const auto found = m_targets.find(id);
     if (found != m_targets.end()) {
-        target_flights &own = found->second.own;
+        target_in_flight &own = found->second.own;
         own.unreadTokens -= std::min(own.unreadTokens, promptTokens);
         m_changedFlights.insert(id);
     }
@@ -393,9 +393,9 @@
     }
 }
 
-flight_counts target_pool::ownFlights() const
+in_flight_counts target_pool::ownFlights() const
 {
-    flight_counts counts;
+    in_flight_counts counts;
     for (const auto &[id, target] : m_targets) {
         if (target.own.requests > 0) {
             counts[id] = target.own;
@@ -404,12 +404,12 @@
     return counts;
 }
 
-flight_counts target_pool::takeChangedFlights()
+in_flight_counts target_pool::takeChangedFlights()
 {
-    flight_counts counts;
+    in_flight_counts counts;
     for (const target_id &id : m_changedFlights) {
         const pool_target *target = find(id);
-        counts[id] = target ? target->own : target_flights();
+        counts[id] = target ? target->own : target_in_flight();
     }
     m_changedFlights.clear();
     return counts;
--- a/packages/gateway/unittests/prompt_reading_test.cpp
+++ b/packages/gateway/unittests/prompt_reading_test.cpp
@@ -147,7 +147,7 @@
     void tellPeers()
     {
         for (std::size_t vm = 0; vm < vmCount; ++vm) {
-            const flight_counts changed = m_pools[vm].takeChangedFlights();
+            const in_flight_counts changed = m_pools[vm].takeChangedFlights();
             for (std::size_t other = 0; other < vmCount; ++other) {
                 if (other != vm) {
                     m_pools[other].changePeerFlights(m_now, vm_id("v" + std::to_string(vm)), changed);
--- a/packages/gateway/unittests/residency_keeper_test.cpp
+++ b/packages/gateway/unittests/residency_keeper_test.cpp
@@ -298,7 +298,7 @@
                 }
             });
         }
-        for (const residency_news &news : steps.news) {
+        for (const residency_change &news : steps.news) {
             m_toldGone += news.adapter.empty() && !news.present ? 1 : 0;
         }
         for (const residency_order &order : steps.orders) {
@@ -339,7 +339,7 @@
     std::multimap<instant, std::function<void()>> m_due;
 };
 
-adapter_want wantOf(int model, int adapter)
+adapter_request wantOf(int model, int adapter)
 {
     return {service, keeper_world::modelAt(model), adapter_id("a" + std::to_string(adapter))};
 }
--- a/packages/gateway/unittests/target_pool_test.cpp
+++ b/packages/gateway/unittests/target_pool_test.cpp
@@ -203,7 +203,7 @@
     std::mt19937 random(*rc::gen::inRange(1U, 1000000U));
     const instant start(std::chrono::seconds(1000));
     target_pool pool(domain_id("d"));
-    std::map<vm_id, flight_counts> words;
+    std::map<vm_id, in_flight_counts> words;
     const auto targetAt = [](unsigned number) {
         return target_id("e" + std::to_string(number));
     };
@@ -211,7 +211,7 @@
     for (int step = 0; step < 300; ++step) {
         now += milliseconds(random() % 20);
         const vm_id vm("vm" + std::to_string(random() % 4));
-        flight_counts counts;
+        in_flight_counts counts;
         for (unsigned number = 0; number < random() % 4; ++number) {
             counts[targetAt(random() % 5)] = {static_cast<std::uint32_t>(random() % 3), static_cast<std::uint32_t>(random() % 900)};
         }
@@ -242,10 +242,10 @@
             break;
         }
         for (const auto &[id, target] : pool.targets()) {
-            target_flights sum;
+            target_in_flight sum;
             for (const auto &[peer, told] : words) {
                 const auto of = told.find(id);
-                sum += of == told.end() ? target_flights() : of->second;
+                sum += of == told.end() ? target_in_flight() : of->second;
             }
             RC_ASSERT(target.peers == sum);
         }
