--- a/packages/fleet/include/fuchsialoom/fleet/fleet_node.h
+++ b/packages/fleet/include/fuchsialoom/fleet/fleet_node.h
@@ -57,10 +57,10 @@
     std::function<void(const vm_id &source, const in_flight_counts &inFlight, bool isFull)> onFlights;
     std::function<void(const vm_id &source)> onSourceRemoved; ///< its in-flight counts no longer apply
     std::function<void(const vm_id &source, const std::vector<demand_entry> &demand)> onDemand;
-    std::function<void(const adapter_request &adapterRequest)> onWant;
-    std::function<void(const residency_change &residencyChanges)> onResidencyChange;
+    std::function<void(const adapter_request &adapterRequest)> onWant; ///< requests at another VM are waiting for an adapter
+    std::function<void(const residency_change &change)> onResidencyChange;
     std::function<void(milliseconds wait)> onHolderAnnounced; ///< another VM holds the duty and sends orders only after \p wait
-    std::function<void(const renounced_fence &message)> onRenounced;
+    std::function<void(const renounced_fence &fence)> onRenounced;
     std::function<void(const vm_id &vm, std::uint64_t version)> onConfigVersion;
     std::function<void(std::size_t live)> onLiveVms; ///< in the fleet, including this one
     std::function<void(fleet_change change, const vm_id &vm)> onChange;
@@ -106,7 +106,9 @@
     /// @{
     /// This VM's in-flight counts changed.
     void noteFlights(instant now);
+    /// Requests are waiting for an adapter.
     void raiseWant(instant now, const adapter_request &adapterRequest);
+    /// What is resident at targets changed.
     void tellNews(instant now, const std::vector<residency_change> &residencyChanges);
     /// Schedules an early digest, since something else in it changed that other VMs wait for.
     void hasten(instant now);
@@ -171,7 +173,7 @@
     void onMemberDigest(instant now, const peer_digest &digest, const endpoint &from);
     void onRelayDigest(instant now, const peer_digest &digest, const endpoint &from);
     void onDelta(instant now, const delta_message &delta);
-    void onRelayUpdate(instant now, const member_update &message);
+    void onRelayUpdate(instant now, const member_update &update);
     void applyInFlight(instant now, const vm_id &source, const in_flight_counts &inFlight, bool isFull);
     void removeSource(const vm_id &source);
     void updateHolder(instant now, const std::optional<holder_announcement> &holder, bool fromMember);
--- a/packages/fleet/include/fuchsialoom/fleet/relay_selection.h
+++ b/packages/fleet/include/fuchsialoom/fleet/relay_selection.h
@@ -23,16 +23,16 @@
     /// A message of \p relay to its members arrived; the next one is due within \p nextWithin.
     void onRelayHeard(instant now, const vm_id &relay, milliseconds nextWithin);
     /// Sets the relays of the domain that are known to be alive.
-    void setLive(std::vector<vm_id> relays);
+    void setLiveRelays(std::vector<vm_id> relays);
     /// \p relay is stopping, so that the next update() selects another one.
-    void leaving(instant now, const vm_id &relay);
+    void onRelayLeaving(instant now, const vm_id &relay);
     /// Another VM requested this one as its relay.
     void onRelayRequest(instant now);
     /// No VM uses this one as its relay any more.
     void clearRelayRequests();
 
     /// Must be called before each use of the functions below. \p keepRelaying: this VM stays a relay, whatever its rank.
-    void update(instant now, const membership_view &known, bool keepRelaying);
+    void update(instant now, const membership_view &membership, bool keepRelaying);
 
     bool isRelay() const
     {
--- a/packages/fleet/lib/fleet_node.cpp
+++ b/packages/fleet/lib/fleet_node.cpp
@@ -225,24 +225,24 @@
     applyResidencyChanges(now, delta.residencyChanges, isMember);
 }
 
-void fleet_node::onRelayUpdate(instant now, const member_update &received)
+void fleet_node::onRelayUpdate(instant now, const member_update &update)
 {
-    const relay_update &message = received.message;
+    const relay_update &message = update.message;
     const vm_id &relay = message.origin.vm;
     updateRole(now);
     if (m_relaySelection.relay() != relay) {
         return;
     }
     if (message.leaving) {
-        m_relaySelection.leaving(now, relay);
+        m_relaySelection.onRelayLeaving(now, relay);
         updateRole(now);
         return;
     }
     m_relaySelection.onRelayHeard(now, relay, message.nextWithin);
     in_flight_counts others = message.inFlight;
     for (auto &[key, inFlight] : others) {
-        const auto mine = received.receiverInFlight.find(key);
-        if (mine != received.receiverInFlight.end()) {
+        const auto mine = update.receiverInFlight.find(key);
+        if (mine != update.receiverInFlight.end()) {
             inFlight -= mine->second;
         }
     }
@@ -256,7 +256,7 @@
         m_events.onFlights(relay, others, message.isFull);
     }
     if (message.isFull) {
-        m_relaySelection.setLive(message.relays);
+        m_relaySelection.setLiveRelays(message.relays);
     }
     m_events.onConfigVersion(relay, message.configVersion);
     updateHolder(now, message.holder, false);
--- a/packages/fleet/lib/messages.cpp
+++ b/packages/fleet/lib/messages.cpp
@@ -33,7 +33,7 @@
 constexpr int maxNestingDepth = 8;
 
 template<typename Entry, typename Encode>
-json listOf(const std::vector<Entry> &entries, Encode encode)
+json encodeList(const std::vector<Entry> &entries, Encode encode)
 {
     json list = json::array();
     for (const Entry &one : entries) {
@@ -43,7 +43,7 @@
 }
 
 template<typename Entry, typename Decode>
-std::vector<Entry> entriesOf(const json &list, Decode decode)
+std::vector<Entry> decodeList(const json &list, Decode decode)
 {
     std::vector<Entry> entries;
     for (const json &one : list) {
@@ -226,10 +226,10 @@
     digest.holder = decodeHolder(read.next());
     digest.renounced = decodeRenounced(read.next());
     digest.inFlight = decodeFlights(read.next());
-    digest.demand = entriesOf<demand_entry>(read.next(), decodeDemand);
-    digest.adapterRequests = entriesOf<adapter_request>(read.next(), decodeAdapterRequest);
-    digest.residencyChanges = entriesOf<residency_change>(read.next(), decodeResidencyChange);
-    digest.relays = entriesOf<endpoint>(read.next(), [](const json &one) {
+    digest.demand = decodeList<demand_entry>(read.next(), decodeDemand);
+    digest.adapterRequests = decodeList<adapter_request>(read.next(), decodeAdapterRequest);
+    digest.residencyChanges = decodeList<residency_change>(read.next(), decodeResidencyChange);
+    digest.relays = decodeList<endpoint>(read.next(), [](const json &one) {
         return parseEndpoint(one.get<std::string>());
     });
     return digest;
@@ -241,8 +241,8 @@
     delta_message delta;
     delta.origin = decodeOrigin(read.next());
     delta.changed = decodeFlights(read.next());
-    delta.adapterRequests = entriesOf<adapter_request>(read.next(), decodeAdapterRequest);
-    delta.residencyChanges = entriesOf<residency_change>(read.next(), decodeResidencyChange);
+    delta.adapterRequests = decodeList<adapter_request>(read.next(), decodeAdapterRequest);
+    delta.residencyChanges = decodeList<residency_change>(read.next(), decodeResidencyChange);
     return delta;
 }
 
@@ -258,8 +258,8 @@
     message.liveVms = std::min(maxRequests, read.next<std::uint32_t>());
     message.configVersion = read.next<std::uint64_t>();
     message.holder = decodeHolder(read.next());
-    message.residencyChanges = entriesOf<residency_change>(read.next(), decodeResidencyChange);
-    message.relays = entriesOf<vm_id>(read.next(), [](const json &one) {
+    message.residencyChanges = decodeList<residency_change>(read.next(), decodeResidencyChange);
+    message.relays = decodeList<vm_id>(read.next(), [](const json &one) {
         return vm_id(one.get<std::string>());
     });
     message.inFlight = decodeFlights(read.next());
@@ -275,7 +275,7 @@
     return message;
 }
 
-std::string cborOf(const json &fields)
+std::string toCbor(const json &fields)
 {
     std::string bytes;
     json::to_cbor(fields, nlohmann::detail::output_adapter<char>(bytes));
@@ -286,7 +286,7 @@
 
 std::string encodeDigest(const peer_digest &digest)
 {
-    return cborOf(json::array({static_cast<int>(message_layout::Digest),
+    return toCbor(json::array({static_cast<int>(message_layout::Digest),
                                encodeOrigin(digest.origin),
                                static_cast<int>(digest.request),
                                digest.vms,
@@ -296,26 +296,26 @@
                                encodeHolder(digest.holder),
                                encodeRenounced(digest.renounced),
                                encodeFlights(digest.inFlight),
-                               listOf(digest.demand, encodeDemand),
-                               listOf(digest.adapterRequests, encodeAdapterRequest),
-                               listOf(digest.residencyChanges, encodeResidencyChange),
-                               listOf(digest.relays, [](const endpoint &one) {
+                               encodeList(digest.demand, encodeDemand),
+                               encodeList(digest.adapterRequests, encodeAdapterRequest),
+                               encodeList(digest.residencyChanges, encodeResidencyChange),
+                               encodeList(digest.relays, [](const endpoint &one) {
                                    return json(toText(one));
                                })}));
 }
 
 std::string encodeDelta(const delta_message &delta)
 {
-    return cborOf(json::array({static_cast<int>(message_layout::Note),
+    return toCbor(json::array({static_cast<int>(message_layout::Note),
                                encodeOrigin(delta.origin),
                                encodeFlights(delta.changed),
-                               listOf(delta.adapterRequests, encodeAdapterRequest),
-                               listOf(delta.residencyChanges, encodeResidencyChange)}));
+                               encodeList(delta.adapterRequests, encodeAdapterRequest),
+                               encodeList(delta.residencyChanges, encodeResidencyChange)}));
 }
 
 std::string encodeRelayUpdate(const relay_update &message)
 {
-    return cborOf(json::array({static_cast<int>(message_layout::Member),
+    return toCbor(json::array({static_cast<int>(message_layout::Member),
                                encodeOrigin(message.origin),
                                message.isFull,
                                message.leaving,
@@ -323,18 +323,18 @@
                                message.liveVms,
                                message.configVersion,
                                encodeHolder(message.holder),
-                               listOf(message.residencyChanges, encodeResidencyChange),
-                               listOf(message.relays,
-                                      [](const vm_id &one) {
-                                          return json(one.text());
-                                      }),
+                               encodeList(message.residencyChanges, encodeResidencyChange),
+                               encodeList(message.relays,
+                                          [](const vm_id &one) {
+                                              return json(one.text());
+                                          }),
                                encodeFlights(message.inFlight)}));
 }
 
 std::string encodeMemberUpdate(const std::string &encodedUpdate, const in_flight_counts &receiverInFlight)
 {
     const std::vector<std::uint8_t> bytes(encodedUpdate.begin(), encodedUpdate.end());
-    return cborOf(json::array({static_cast<int>(message_layout::Member), json::binary(bytes), encodeFlights(receiverInFlight)}));
+    return toCbor(json::array({static_cast<int>(message_layout::Member), json::binary(bytes), encodeFlights(receiverInFlight)}));
 }
 
 std::optional<peer_datagram> decodeDatagram(std::string_view bytes)
--- a/packages/fleet/lib/relay_selection.cpp
+++ b/packages/fleet/lib/relay_selection.cpp
@@ -35,12 +35,12 @@
     }
 }
 
-void relay_selection::setLive(std::vector<vm_id> relays)
+void relay_selection::setLiveRelays(std::vector<vm_id> relays)
 {
     m_liveRelays = std::move(relays);
 }
 
-void relay_selection::leaving(instant now, const vm_id &relay)
+void relay_selection::onRelayLeaving(instant now, const vm_id &relay)
 {
     m_avoided[relay] = now + leavingRelayAvoidance;
     if (m_relay == relay) {
@@ -58,7 +58,7 @@
     m_requestedUntil = {};
 }
 
-void relay_selection::update(instant now, const membership_view &known, bool keepRelaying)
+void relay_selection::update(instant now, const membership_view &membership, bool keepRelaying)
 {
     std::erase_if(m_avoided, [now](const auto &entry) {
         return now >= entry.second;
@@ -67,8 +67,8 @@
         m_avoided.try_emplace(*m_relay, now + (m_served ? silentRelayAvoidance : unansweredRelayAvoidance));
         m_relay.reset();
     }
-    const std::vector<vm_record> &ranked = known.ranked(m_domain);
-    const std::size_t count = known.relayCount(m_domain);
+    const std::vector<vm_record> &ranked = membership.ranked(m_domain);
+    const std::size_t count = membership.relayCount(m_domain);
     const auto self = std::ranges::find(ranked, m_self, &vm_record::vm);
     const bool isRanked = self == ranked.end() || static_cast<std::size_t>(self - ranked.begin()) < count;
     m_isRelay = isRanked || keepRelaying || now < m_requestedUntil;
@@ -95,35 +95,35 @@
 /// VMs were unreachable or unknown.
 void relay_selection::switchToPreferred(instant now, const std::vector<vm_record> &ranked, std::size_t count)
 {
-    std::vector<vm_id> first;
+    std::vector<vm_id> candidates;
     for (std::size_t at = 0; at < std::min(count, ranked.size()); ++at) {
         const vm_id &vm = ranked[at].vm;
         if (vm == m_relay) {
             return;
         }
         if (std::ranges::find(m_liveRelays, vm) != m_liveRelays.end() && !m_avoided.contains(vm)) {
-            first.push_back(vm);
+            candidates.push_back(vm);
         }
     }
-    if (!first.empty()) {
-        selectRelay(now, first.at(hashOf(m_self.text()).value() % first.size()));
+    if (!candidates.empty()) {
+        selectRelay(now, candidates.at(hashOf(m_self.text()).value() % candidates.size()));
     }
 }
 
 /// Spreads the members over the first VMs of the ranking that aren't avoided. A VM that is among these becomes a relay.
 void relay_selection::selectFromRanking(instant now, const std::vector<vm_record> &ranked, std::size_t count)
 {
-    std::vector<vm_id> first;
+    std::vector<vm_id> candidates;
     for (const vm_record &one : ranked) {
-        if (first.size() < count && !m_avoided.contains(one.vm)) {
-            first.push_back(one.vm);
+        if (candidates.size() < count && !m_avoided.contains(one.vm)) {
+            candidates.push_back(one.vm);
         }
     }
-    if (std::ranges::find(first, m_self) != first.end()) {
+    if (std::ranges::find(candidates, m_self) != candidates.end()) {
         m_isRelay = true;
         return;
     }
-    selectRelay(now, first.at(hashOf(m_self.text()).value() % first.size()));
+    selectRelay(now, candidates.at(hashOf(m_self.text()).value() % candidates.size()));
 }
 
 } // namespace fuchsialoom
--- a/packages/fleet/unittests/fleet_node_test.cpp
+++ b/packages/fleet/unittests/fleet_node_test.cpp
@@ -96,7 +96,7 @@
     }
 }
 
-TEST_P(fleet_sizes, whatAVmSendsIsBounded)
+TEST_P(fleet_sizes, trafficPerVmIsBounded)
 {
     simulated_fleet fleet(options(4));
     fleet.startAll();
@@ -283,7 +283,7 @@
     }
 }
 
-TEST_P(fleet_sizes, oneRelayIsFirstForTheDuty)
+TEST_P(fleet_sizes, exactlyOneRelayHasDutyRankZero)
 {
     simulated_fleet fleet(options(12));
     fleet.startAll();
