--- a/packages/gateway/include/fuchsialoom/gateway/demand_view.h
+++ b/packages/gateway/include/fuchsialoom/gateway/demand_view.h
@@ -3,7 +3,7 @@
 /// two, but not every single request. Sans-I/O.
 #pragma once
 
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 
 #include <map>
 #include <vector>
--- a/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
+++ b/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
@@ -16,7 +16,7 @@
 ///     successor that receives the announcement waits only for the turn time after that order.
 #pragma once
 
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/support/ids.h"
 #include "fuchsialoom/support/name_table.h"
 #include "fuchsialoom/support/time.h"
--- a/packages/gateway/include/fuchsialoom/gateway/gateway.h
+++ b/packages/gateway/include/fuchsialoom/gateway/gateway.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "fuchsialoom/core/admission_queue.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/gateway/connection_pool.h"
 #include "fuchsialoom/gateway/decision_log.h"
 #include "fuchsialoom/gateway/drain_rules.h"
@@ -129,7 +129,7 @@
     void setLiveVms(std::size_t live);
 
     /// Sets the callback for a request whose adapter isn't resident at any target with room.
-    void onAdapterMiss(std::function<void(const adapter_want &)> callback)
+    void onAdapterMiss(std::function<void(const adapter_request &)> callback)
     {
         m_onAdapterMiss = std::move(callback);
     }
@@ -212,7 +212,7 @@
     std::map<model_id, pace_meter> m_paceMeters; ///< by model; engines only
     std::map<service_id, shared_retry_budget> m_budgets;
     std::map<model_id, model_demand> m_demand;
-    std::function<void(const adapter_want &)> m_onAdapterMiss;
+    std::function<void(const adapter_request &)> m_onAdapterMiss;
     std::function<void()> m_onInFlightChanged;
     std::function<void(const target_id &)> m_onUnreachable;
     std::function<milliseconds()> m_timeUntilOrders;
--- a/packages/gateway/include/fuchsialoom/gateway/peer_transport.h
+++ b/packages/gateway/include/fuchsialoom/gateway/peer_transport.h
@@ -29,8 +29,8 @@
     /// \name Messages of this VM to its peers, sent within a few milliseconds.
     /// @{
     void noteFlights();
-    void raiseWant(const adapter_want &want);
-    void tellNews(const std::vector<residency_news> &news);
+    void raiseWant(const adapter_request &want);
+    void tellNews(const std::vector<residency_change> &news);
     void hasten();
     /// @}
 
--- a/packages/gateway/include/fuchsialoom/gateway/residency_controller.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_controller.h
@@ -24,7 +24,7 @@
     std::function<void(const lease_record &record, std::uint64_t onlyAt)> appendLease;
     std::function<void(const residency_order &order, std::uint64_t fence)> sendOrder;
     std::function<void(const target_id &target)> requestReport;
-    std::function<void(const std::vector<residency_news> &news)> tellNews; ///< broadcasts to all VMs, including this one
+    std::function<void(const std::vector<residency_change> &news)> tellNews; ///< broadcasts to all VMs, including this one
     /// A clock that includes time in which the VM was suspended.
     std::function<instant()> boottimeClock;
 };
@@ -55,7 +55,7 @@
     /// \name Messages from the VMs, including this one.
     /// @{
     void onDemand(const vm_id &vm, const std::vector<demand_entry> &demand);
-    void onWant(const adapter_want &want);
+    void onWant(const adapter_request &want);
     /// A VM announced that it holds the lease. \p wait: time until it may issue orders.
     void onHolderHeard(milliseconds wait);
     void onRenounced(const renounced_fence &word);
--- a/packages/gateway/include/fuchsialoom/gateway/target_pool.h
+++ b/packages/gateway/include/fuchsialoom/gateway/target_pool.h
@@ -4,8 +4,8 @@
 #pragma once
 
 #include "fuchsialoom/core/targets.h"
-#include "fuchsialoom/fleet/flight_ledger.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/in_flight_tracker.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/gateway/routes.h"
 
 #include <cstdint>
@@ -47,8 +47,8 @@
     target_listing listed; ///< with unexpired news applied
     std::vector<held_model> listedModels; ///< as listed, without news
     target_key key; ///< key of the listed id
-    target_flights own; ///< attempts of this VM
-    target_flights peers; ///< sum of the latest counts of all peers
+    target_in_flight own; ///< attempts of this VM
+    target_in_flight peers; ///< sum of the latest counts of all peers
     double failureShare = 0; ///< share of recent attempts that failed, 0 to 1; decays
     instant failureShareAt{}; ///< time up to which `failureShare` has decayed
     instant avoidUntil{}; ///< used only if no other target has room, after a failed connection or a timeout
@@ -125,15 +125,15 @@
     /// @}
 
     /// Applies a peer's news of a target. It overrides the listing for a short time, as the listing may be older.
-    void addNews(instant now, const residency_news &news);
+    void addNews(instant now, const residency_change &news);
 
     /// The target itself answered that it doesn't hold the model or adapter.
     void noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter);
 
     /// Replaces all counts of \p vm. They expire if the VM stays silent.
-    void setPeerFlights(instant now, const vm_id &vm, const flight_counts &counts);
+    void setPeerFlights(instant now, const vm_id &vm, const in_flight_counts &counts);
     /// Updates the counts of \p vm that changed; a count may be zero.
-    void changePeerFlights(instant now, const vm_id &vm, const flight_counts &changed);
+    void changePeerFlights(instant now, const vm_id &vm, const in_flight_counts &changed);
     void forgetPeerFlights(const vm_id &vm);
     /// Drops the counts of silent peers and ends the time for which targets are displaced or unreachable.
     void expirePeers(instant now);
@@ -164,9 +164,9 @@
     /// @}
 
     /// All requests that this VM has in flight, for a full digest.
-    flight_counts ownFlights() const;
+    in_flight_counts ownFlights() const;
     /// Counts that changed since the last call, including those now zero.
-    flight_counts takeChangedFlights();
+    in_flight_counts takeChangedFlights();
 
     const pool_target *find(const target_id &id) const;
     const std::map<target_id, pool_target> &targets() const
@@ -183,12 +183,12 @@
 private:
     struct held_news
     {
-        residency_news news;
+        residency_change news;
         instant until{};
     };
 
     void applyNews(instant now, pool_target &target);
-    void setHeld(pool_target &target, const residency_news &news);
+    void setHeld(pool_target &target, const residency_change &news);
     double scoreOf(instant now, const pool_target &target, std::uint64_t draw) const;
     static std::uint32_t slotsOf(const pool_target &target);
     /// Requests in flight at \p target. For plain targets, excludes counts of peers too old to be still valid.
@@ -199,7 +199,7 @@
     instant m_lastNewTargetAt{}; ///< when a new target was last listed
     bool m_settled = false;
     std::map<target_key, target_id> m_keys; ///< ids of the listed targets
-    flight_ledger m_peers;
+    in_flight_tracker m_peers;
     std::map<service_id, microseconds> m_runs; ///< moving average of run times by service; used for plain targets
     std::set<target_id> m_changedFlights; ///< targets whose own counts changed and weren't taken yet
     std::map<target_id, std::vector<held_news>> m_news; ///< news that listings may not include yet; bounded by its expiry
--- a/packages/gateway/lib/residency_adapters.cpp
+++ b/packages/gateway/lib/residency_adapters.cpp
@@ -51,7 +51,7 @@
     return least;
 }
 
-void residency_reconciler::requestAdapter(instant now, const adapter_want &want)
+void residency_reconciler::requestAdapter(instant now, const adapter_request &want)
 {
     m_adapterWants[want] = now + adapterWantLifetime;
     recordAdapterUse(now, want.model, want.adapter);
@@ -66,7 +66,7 @@
     }
 }
 
-bool residency_reconciler::serveAdapterWant(instant now, const target_pool &pool, const adapter_want &want, residency_actions &actions)
+bool residency_reconciler::serveAdapterWant(instant now, const target_pool &pool, const adapter_request &want, residency_actions &actions)
 {
     const auto traits = m_traits.find(want.service);
     if (traits == m_traits.end()) {
--- a/packages/gateway/lib/residency_controller.cpp
+++ b/packages/gateway/lib/residency_controller.cpp
@@ -223,7 +223,7 @@
     }
 }
 
-void residency_controller::onWant(const adapter_want &want)
+void residency_controller::onWant(const adapter_request &want)
 {
     if (m_mayOrder) {
         m_reconciler.requestAdapter(loopNow(), want);
--- a/packages/gateway/unittests/residency_reconciler_test.cpp
+++ b/packages/gateway/unittests/residency_reconciler_test.cpp
@@ -298,7 +298,7 @@
                 }
             });
         }
-        for (const residency_news &news : actions.news) {
+        for (const residency_change &news : actions.news) {
             m_unloadAnnouncements += news.adapter.empty() && !news.present ? 1 : 0;
         }
         for (const residency_order &order : actions.orders) {
@@ -339,7 +339,7 @@
     std::multimap<instant, std::function<void()>> m_due;
 };
 
-adapter_want adapterWant(int model, int adapter)
+adapter_request adapterWant(int model, int adapter)
 {
     return {service, reconciler_fixture::modelAt(model), adapter_id("a" + std::to_string(adapter))};
 }
