--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -250,7 +250,7 @@
     }
     EXPECT_TRUE(waitFor([&] {
         return m_world.call([&] {
-            return m_world.target("e1").left() == 1;
+            return m_world.target("e1").abandonedStreams() == 1;
         });
     }));
 }
@@ -315,7 +315,7 @@
     m_world.call([&] {
         m_world.store().setState(store_state::Up);
         m_world.store().put("keyed.op", "config", R"({"version":2,"routes":[],"services":[],"limits":{}})");
-        m_world.store().forgetHistory("keyed.op");
+        m_world.store().trimHistory("keyed.op");
     });
     EXPECT_TRUE(waitFor([&] {
         return m_world.ask(m_vm, plainRequest("/post/1", "r" + std::to_string(std::rand()))).status == 404;
--- a/tests/platform_world.cpp
+++ b/tests/platform_world.cpp
@@ -29,7 +29,7 @@
 
 platform_world::platform_world()
     : m_work(asio::make_work_guard(m_loop))
-    , m_store(std::make_unique<store_standin>(m_loop))
+    , m_store(std::make_unique<fake_store>(m_loop))
 {
     std::string folder = (std::filesystem::temp_directory_path() / "fuchsialoom-platform-XXXXXX").string();
     m_folder = ::mkdtemp(folder.data());
@@ -50,7 +50,7 @@
 {
     call([&] {
         const std::string id = options.id;
-        m_targets[id] = std::make_unique<target_standin>(m_loop, std::move(options));
+        m_targets[id] = std::make_unique<fake_target>(m_loop, std::move(options));
         m_store->put("keyed.servers", id, m_targets[id]->entry());
     });
 }
--- a/tests/platform_world.h
+++ b/tests/platform_world.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "child_process.h"
-#include "store_standin.h"
-#include "target_standin.h"
+#include "fake_store.h"
+#include "fake_target.h"
 
 #include <asio.hpp>
 
@@ -60,11 +60,11 @@
         return result.get();
     }
 
-    store_standin &store()
+    fake_store &store()
     {
         return *m_store;
     }
-    target_standin &target(const std::string &id)
+    fake_target &target(const std::string &id)
     {
         return *m_targets.at(id);
     }
@@ -120,8 +120,8 @@
     asio::io_context m_loop; ///< of the stand-ins
     asio::io_context m_callers; ///< of the callers' sockets, which block
     asio::executor_work_guard<asio::io_context::executor_type> m_work;
-    std::unique_ptr<store_standin> m_store;
-    std::map<std::string, std::unique_ptr<target_standin>> m_targets;
+    std::unique_ptr<fake_store> m_store;
+    std::map<std::string, std::unique_ptr<fake_target>> m_targets;
     std::map<std::string, vm_entry> m_vms;
     std::string m_folder;
     std::thread m_thread;
--- a/tests/topic_listing_test.cpp
+++ b/tests/topic_listing_test.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Tests listings of a topic that span several pages.
+#include "fake_store.h"
 #include "fuchsialoom/platform/topic_follower.h"
-#include "store_standin.h"
 
 #include <gtest/gtest.h>
 
@@ -56,7 +56,7 @@
     }
 
     asio::io_context m_loop;
-    store_standin m_store{m_loop};
+    fake_store m_store{m_loop};
     store_client m_client{m_loop, m_store.address()};
     std::map<std::string, std::string> m_values;
     std::set<std::string> m_listedKeys;
