--- a/bench/replica_slope.cpp
+++ b/bench/replica_slope.cpp
@@ -45,7 +45,7 @@
     for (std::size_t rank = 0; rank < busy; ++rank) {
         replica_model &model = made.models[(from + rank) % made.models.size()];
         model.streams = streams / weights / static_cast<double>(rank + 1);
-        model.remembered = model.streams;
+        model.recentPeakStreams = model.streams;
     }
 }
 
@@ -62,7 +62,7 @@
         for (std::size_t place = 0; place < modelsOfAnEngine; ++place) {
             one.held.insert(modelAt((engine * modelsOfAnEngine + place) % models));
         }
-        one.atHand = one.held;
+        one.cachedModels = one.held;
         made.engines.push_back(std::move(one));
     }
     askFor(made, 0);
@@ -76,7 +76,7 @@
     const double seconds = threadSeconds() - before;
     if (carryOut) {
         for (replica_engine &engine : made.engines) {
-            engine.held = plan.wanted.at(engine.target);
+            engine.held = plan.placement.at(engine.target);
         }
     }
     return seconds;
--- a/packages/fleet/include/fuchsialoom/fleet/fleet_node.h
+++ b/packages/fleet/include/fuchsialoom/fleet/fleet_node.h
@@ -6,10 +6,10 @@
 /// the fleet is at most as old as the sum of three note intervals, or three whole-word intervals where notes are lost.
 #pragma once
 
-#include "fuchsialoom/fleet/flight_ledger.h"
-#include "fuchsialoom/fleet/relay_choice.h"
-#include "fuchsialoom/fleet/roster.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/in_flight_tracker.h"
+#include "fuchsialoom/fleet/relay_selection.h"
+#include "fuchsialoom/fleet/membership_view.h"
+#include "fuchsialoom/fleet/messages.h"
 
 #include <functional>
 #include <map>
@@ -48,16 +48,16 @@
 struct fleet_events
 {
     /// This VM's own configuration version, holder, flights and demand, whether it stops, what it renounced.
-    std::function<peer_digest()> compose;
-    std::function<flight_counts()> changedFlights; ///< own, since the last call
-    /// What \p source tells of flights; \p isWhole: in place of all that it told before.
-    std::function<void(const vm_id &source, const flight_counts &flights, bool isWhole)> onFlights;
-    std::function<void(const vm_id &source)> onForgotten; ///< its flights count no more
+    std::function<peer_digest()> makeDigest;
+    std::function<in_flight_counts()> takeChangedInFlight; ///< own, since the last call
+    /// What \p source tells of flights; \p isFull: in place of all that it told before.
+    std::function<void(const vm_id &source, const in_flight_counts &inFlight, bool isFull)> onFlights;
+    std::function<void(const vm_id &source)> onSourceRemoved; ///< its flights count no more
     std::function<void(const vm_id &source, const std::vector<demand_entry> &demand)> onDemand;
-    std::function<void(const adapter_want &want)> onWant;
-    std::function<void(const residency_news &news)> onNews;
-    std::function<void(milliseconds wait)> onHolder; ///< another VM holds the duty and orders after this
-    std::function<void(const renounced_fence &word)> onRenounced;
+    std::function<void(const adapter_request &adapterRequest)> onWant;
+    std::function<void(const residency_change &residencyChanges)> onResidencyChange;
+    std::function<void(milliseconds wait)> onHolderAnnounced; ///< another VM holds the duty and orders after this
+    std::function<void(const renounced_fence &message)> onRenounced;
     std::function<void(const vm_id &vm, std::uint64_t version)> onConfigVersion;
     std::function<void(std::size_t live)> onLiveVms; ///< of the fleet, this one among them
     std::function<void(fleet_change change, const vm_id &vm)> onChange;
@@ -66,25 +66,25 @@
 /// Datagrams to be sent now.
 struct fleet_outbox
 {
-    struct digest_out
+    struct outgoing_digest
     {
         peer_digest digest;
         std::vector<endpoint> to;
     };
-    struct note_out
+    struct outgoing_delta
     {
-        flight_note note;
+        delta_message delta;
         std::vector<endpoint> to;
     };
-    struct relay_out
+    struct outgoing_relay_update
     {
-        relay_word word;
-        std::vector<std::pair<endpoint, flight_counts>> to; ///< with what each one is to leave out
+        relay_update message;
+        std::vector<std::pair<endpoint, in_flight_counts>> to; ///< with what each one is to leave out
     };
 
-    std::vector<digest_out> digests;
-    std::vector<note_out> notes;
-    std::vector<relay_out> relayWords;
+    std::vector<outgoing_digest> digests;
+    std::vector<outgoing_delta> deltas;
+    std::vector<outgoing_relay_update> relayUpdates;
 };
 
 class fleet_node
@@ -103,8 +103,8 @@
     /// @{
     /// Flights changed.
     void noteFlights(instant now);
-    void raiseWant(instant now, const adapter_want &want);
-    void tellNews(instant now, const std::vector<residency_news> &news);
+    void raiseWant(instant now, const adapter_request &adapterRequest);
+    void tellNews(instant now, const std::vector<residency_change> &residencyChanges);
     /// Something else in the digest changed that others wait for.
     void hasten(instant now);
     /// @}
@@ -115,7 +115,7 @@
 
     bool isRelay() const
     {
-        return m_choice.isRelay();
+        return m_relaySelection.isRelay();
     }
     /// The record of the VM that relays for this one, while it does.
     const vm_record *servingRelay(instant now) const;
@@ -147,7 +147,7 @@
         instant silentAt{};
         std::vector<demand_entry> demand;
     };
-    struct seen_word
+    struct last_message
     {
         std::uint64_t incarnation = 0;
         std::uint64_t sequence = 0;
@@ -160,64 +160,64 @@
         instant until{}; ///< the word counts no more from here on
     };
 
-    bool isNews(const word_origin &origin);
-    word_origin nextOrigin();
+    bool acceptMessage(const message_origin &origin);
+    message_origin nextOrigin();
     void onDigest(instant now, const peer_digest &digest, const endpoint &from);
     void onLeave(instant now, const vm_id &vm);
     void onNotRelay(const vm_id &vm);
     void onMemberDigest(instant now, const peer_digest &digest, const endpoint &from);
     void onRelayDigest(instant now, const peer_digest &digest, const endpoint &from);
-    void onNote(instant now, const flight_note &note);
-    void onRelayWord(instant now, const member_word &word);
-    void takeFlights(instant now, const vm_id &source, const flight_counts &flights, bool isWhole);
-    void dropSource(const vm_id &source);
-    void hear(instant now, const std::optional<holder_word> &holder, bool fromMember);
-    void hearNews(instant now, const std::vector<residency_news> &news, bool fromMember);
+    void onDelta(instant now, const delta_message &delta);
+    void onRelayUpdate(instant now, const member_update &message);
+    void applyInFlight(instant now, const vm_id &source, const in_flight_counts &inFlight, bool isFull);
+    void removeSource(const vm_id &source);
+    void updateHolder(instant now, const std::optional<holder_announcement> &holder, bool fromMember);
+    void applyResidencyChanges(instant now, const std::vector<residency_change> &residencyChanges, bool fromMember);
     void updateRole(instant now);
     void expire(instant now);
-    void countLive(instant now);
-    void hastenNote(instant now);
-    std::size_t receivers() const;
-    std::vector<endpoint> meshAddresses() const;
+    void updateLiveVms(instant now);
+    void scheduleDelta(instant now);
+    std::size_t receiverCount() const;
+    std::vector<endpoint> relayAddresses() const;
     std::vector<demand_entry> groupDemand(const std::vector<demand_entry> &own) const;
-    std::optional<holder_word> holderAt(instant now) const;
-    void sendRequests(fleet_outbox &out);
-    void sendRequest(relay_request request, std::vector<endpoint> to, fleet_outbox &out);
-    void sendWhole(instant now, fleet_outbox &out);
-    void sendNotes(instant now, fleet_outbox &out);
-    fleet_outbox::relay_out relayOut(instant now, bool isWhole, flight_counts flights);
+    std::optional<holder_announcement> holderAt(instant now) const;
+    void sendRelayRequests(fleet_outbox &out);
+    void sendRelayRequest(relay_request request, std::vector<endpoint> to, fleet_outbox &out);
+    void sendDigests(instant now, fleet_outbox &out);
+    void sendDeltas(instant now, fleet_outbox &out);
+    fleet_outbox::outgoing_relay_update makeRelayUpdate(instant now, bool isFull, in_flight_counts inFlight);
 
     const vm_record m_self;
     const std::uint64_t m_incarnation;
     fleet_events m_events;
-    roster m_roster;
-    relay_choice m_choice;
+    membership_view m_membership;
+    relay_selection m_relaySelection;
     std::map<endpoint, instant> m_seeds; ///< where VMs may be or relays were told of, and until when digests go there
     std::map<vm_id, peer_state> m_relays; ///< other relays that were heard, while this VM relays
     std::map<vm_id, member_state> m_members; ///< while this VM relays
-    std::map<vm_id, seen_word> m_seen; ///< the latest word of each process; bounded
-    flight_ledger m_group; ///< this VM and its members
-    flight_ledger m_all; ///< the whole fleet
-    std::map<adapter_want, instant> m_wants; ///< of this VM and its members, and when each was last raised
-    std::vector<adapter_want> m_newWants; ///< not told in a note yet
-    std::map<residency_news, instant> m_news; ///< to be told to everybody for a while, and since when
-    std::map<residency_news, instant> m_heardNews; ///< to be told to members alone
-    std::vector<residency_news> m_freshNews; ///< of m_news, not told in a note yet
-    std::vector<residency_news> m_freshHeardNews;
+    std::map<vm_id, last_message> m_lastMessages; ///< the latest word of each process; bounded
+    in_flight_tracker m_groupInFlight; ///< this VM and its members
+    in_flight_tracker m_fleetInFlight; ///< the whole fleet
+    std::map<adapter_request, instant> m_adapterRequests; ///< of this VM and its members, and when each was last raised
+    std::vector<adapter_request> m_unsentAdapterRequests; ///< not told in a note yet
+    std::map<residency_change, instant> m_residencyChanges; ///< to be told to everybody for a while, and since when
+    std::map<residency_change, instant> m_changesForMembers; ///< to be told to members alone
+    std::vector<residency_change> m_unsentChanges; ///< of m_residencyChanges, not told in a note yet
+    std::vector<residency_change> m_unsentChangesForMembers;
     std::optional<known_holder> m_holder; ///< another VM
     bool m_wasRelay = true;
     bool m_holdsDuty = false; ///< as of the latest digest; needs the words of all relays
     std::vector<endpoint> m_formerRelays; ///< to be told that they relay for this VM no more
-    std::vector<endpoint> m_mistaken; ///< to be told that this VM doesn't relay
-    std::vector<endpoint> m_mesh; ///< where a relay's words to other relays go, as of the latest advance()
-    std::optional<vm_id> m_flightsFrom; ///< the relay whose word of all flights is counted
+    std::vector<endpoint> m_notRelayReceivers; ///< to be told that this VM doesn't relay
+    std::vector<endpoint> m_relayAddresses; ///< where a relay's words to other relays go, as of the latest advance()
+    std::optional<vm_id> m_inFlightSource; ///< the relay whose word of all flights is counted
     std::uint64_t m_sequence = 0;
-    instant m_wholeAt{};
-    instant m_lastWholeAt{};
-    instant m_noteAt = farFuture;
-    instant m_lastNoteAt{};
+    instant m_nextDigestAt{};
+    instant m_lastDigestAt{};
+    instant m_nextDeltaAt = farFuture;
+    instant m_lastDeltaAt{};
     std::size_t m_liveVms = 1; ///< the most of late: a relay that is lost takes its members out of the count for a moment
-    instant m_liveHeldUntil{};
+    instant m_liveVmsHeldUntil{};
 };
 
 } // namespace fuchsialoom
--- a/packages/fleet/include/fuchsialoom/fleet/flights.h
+++ b/packages/fleet/include/fuchsialoom/fleet/in_flight.h
@@ -28,7 +28,7 @@
 };
 
 /// What is in flight at a target.
-struct target_flights
+struct target_in_flight
 {
     std::uint32_t requests = 0;
     std::uint32_t unreadTokens = 0; ///< of prompts whose first event hasn't come
@@ -37,22 +37,22 @@
     {
         return requests == 0 && unreadTokens == 0;
     }
-    target_flights &operator+=(const target_flights &other)
+    target_in_flight &operator+=(const target_in_flight &other)
     {
         requests += other.requests;
         unreadTokens += other.unreadTokens;
         return *this;
     }
     /// Counts that were told at different moments may not fit together: no count falls below 0.
-    target_flights &operator-=(const target_flights &other)
+    target_in_flight &operator-=(const target_in_flight &other)
     {
         requests -= requests < other.requests ? requests : other.requests;
         unreadTokens -= unreadTokens < other.unreadTokens ? unreadTokens : other.unreadTokens;
         return *this;
     }
-    friend bool operator==(const target_flights &, const target_flights &) = default;
+    friend bool operator==(const target_in_flight &, const target_in_flight &) = default;
 };
 
-using flight_counts = std::map<target_key, target_flights>;
+using in_flight_counts = std::map<target_key, target_in_flight>;
 
 } // namespace fuchsialoom
--- a/packages/fleet/include/fuchsialoom/fleet/roster.h
+++ b/packages/fleet/include/fuchsialoom/fleet/membership_view.h
@@ -24,7 +24,7 @@
     friend bool operator==(const vm_record &, const vm_record &) = default;
 };
 
-class roster
+class membership_view
 {
 public:
     /// In place of an earlier record of the same VM. \return whether anything changed.
--- a/packages/fleet/include/fuchsialoom/fleet/words.h
+++ b/packages/fleet/include/fuchsialoom/fleet/messages.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "fuchsialoom/core/targets.h"
-#include "fuchsialoom/fleet/flights.h"
+#include "fuchsialoom/fleet/in_flight.h"
 #include "fuchsialoom/support/time.h"
 
 #include <cstdint>
@@ -33,25 +33,25 @@
 };
 
 /// Requests wait for an adapter that no target with room holds.
-struct adapter_want
+struct adapter_request
 {
     service_id service;
     model_id model;
     adapter_id adapter;
 
-    friend auto operator<=>(const adapter_want &, const adapter_want &) = default;
+    friend auto operator<=>(const adapter_request &, const adapter_request &) = default;
 };
 
 /// What a target holds changed, by word of the VM that ordered it; or its host refused a VM's connection, so that no
 /// process is there.
-struct residency_news
+struct residency_change
 {
     target_id target;
     model_id model; ///< empty: the target itself
     adapter_id adapter; ///< empty: the model itself
     bool present = true;
 
-    friend auto operator<=>(const residency_news &, const residency_news &) = default;
+    friend auto operator<=>(const residency_change &, const residency_change &) = default;
 };
 
 /// A holder's word that it orders no more under a fence.
@@ -64,22 +64,22 @@
 };
 
 /// Some VM holds the duty of ordering what targets hold.
-struct holder_word
+struct holder_announcement
 {
     std::uint64_t fence = 0;
     milliseconds wait{0}; ///< it orders only after this
 
-    friend bool operator==(const holder_word &, const holder_word &) = default;
+    friend bool operator==(const holder_announcement &, const holder_announcement &) = default;
 };
 
 /// Who sends a datagram, and where it stands among the sender's others.
-struct word_origin
+struct message_origin
 {
     vm_id vm;
     std::uint64_t incarnation = 0; ///< of the sending process; grows with its restarts
     std::uint64_t sequence = 0; ///< grows with every datagram of a process
 
-    friend bool operator==(const word_origin &, const word_origin &) = default;
+    friend bool operator==(const message_origin &, const message_origin &) = default;
 };
 
 /// What the sender of a digest wants of its receiver.
@@ -93,68 +93,68 @@
 /// The whole word of a VM, or of a relay with its members.
 struct peer_digest
 {
-    word_origin origin;
+    message_origin origin;
     relay_request request = relay_request::None;
     std::uint32_t vms = 1; ///< that the word speaks for
-    milliseconds due{0}; ///< the sender's next digest comes within this
+    milliseconds nextWithin{0}; ///< the sender's next digest comes within this
     std::uint64_t configVersion = 0; ///< in force at the sender; 0: none
     bool leaving = false; ///< the sender stops
-    std::optional<holder_word> holder; ///< the sender, or a VM that it speaks for
+    std::optional<holder_announcement> holder; ///< the sender, or a VM that it speaks for
     std::optional<renounced_fence> renounced; ///< set by a VM whose term as holder ended
-    flight_counts flights;
+    in_flight_counts inFlight;
     std::vector<demand_entry> demand;
-    std::vector<adapter_want> wants;
-    std::vector<residency_news> news;
+    std::vector<adapter_request> adapterRequests;
+    std::vector<residency_change> residencyChanges;
     std::vector<endpoint> relays; ///< other relays that the sender hears, so that all of them know each other
 
     friend bool operator==(const peer_digest &, const peer_digest &) = default;
 };
 
 /// What changed since a sender's last word, for choices that are made within milliseconds.
-struct flight_note
+struct delta_message
 {
-    word_origin origin;
-    flight_counts changed; ///< zeros among them
-    std::vector<adapter_want> wants;
-    std::vector<residency_news> news;
+    message_origin origin;
+    in_flight_counts changed; ///< zeros among them
+    std::vector<adapter_request> adapterRequests;
+    std::vector<residency_change> residencyChanges;
 
-    friend bool operator==(const flight_note &, const flight_note &) = default;
+    friend bool operator==(const delta_message &, const delta_message &) = default;
 };
 
 /// What a relay tells all its members alike.
-struct relay_word
+struct relay_update
 {
-    word_origin origin;
-    bool isWhole = false; ///< `flights` tells of all targets, else of those that changed
+    message_origin origin;
+    bool isFull = false; ///< `flights` tells of all targets, else of those that changed
     bool leaving = false; ///< the relay stops
-    milliseconds due{0}; ///< the next whole one comes within this
+    milliseconds nextWithin{0}; ///< the next whole one comes within this
     std::uint32_t liveVms = 1; ///< of the whole fleet, as far as the relay knows
     std::uint64_t configVersion = 0;
-    std::optional<holder_word> holder;
-    std::vector<residency_news> news;
+    std::optional<holder_announcement> holder;
+    std::vector<residency_change> residencyChanges;
     std::vector<vm_id> relays; ///< of the domain, that the sender hears; told with whole words
-    flight_counts flights; ///< of all VMs together, the receiver's own among them
+    in_flight_counts inFlight; ///< of all VMs together, the receiver's own among them
 
-    friend bool operator==(const relay_word &, const relay_word &) = default;
+    friend bool operator==(const relay_update &, const relay_update &) = default;
 };
 
 /// A relay word with what one member has to leave out of it.
-struct member_word
+struct member_update
 {
-    relay_word word;
-    flight_counts yours; ///< the receiver's own flights that the word counts; of all targets
+    relay_update message;
+    in_flight_counts receiverInFlight; ///< the receiver's own flights that the word counts; of all targets
 
-    friend bool operator==(const member_word &, const member_word &) = default;
+    friend bool operator==(const member_update &, const member_update &) = default;
 };
 
-using peer_datagram = std::variant<peer_digest, flight_note, member_word>;
+using peer_datagram = std::variant<peer_digest, delta_message, member_update>;
 
 std::string encodeDigest(const peer_digest &digest);
-std::string encodeNote(const flight_note &note);
-/// The part of a member_word that is the same for all members.
-std::string encodeRelayWord(const relay_word &word);
-/// \p encodedWord: made by encodeRelayWord().
-std::string encodeMemberWord(const std::string &encodedWord, const flight_counts &yours);
+std::string encodeDelta(const delta_message &delta);
+/// The part of a member_update that is the same for all members.
+std::string encodeRelayUpdate(const relay_update &message);
+/// \p encodedUpdate: made by encodeRelayUpdate().
+std::string encodeMemberUpdate(const std::string &encodedUpdate, const in_flight_counts &receiverInFlight);
 
 /// \return nothing for bytes that are no datagram of a known kind.
 std::optional<peer_datagram> decodeDatagram(std::string_view bytes);
--- a/packages/fleet/include/fuchsialoom/fleet/pacing.h
+++ b/packages/fleet/include/fuchsialoom/fleet/pacing.h
@@ -12,23 +12,23 @@
 {
 
 /// From one whole word to the next, for a VM with so many receivers.
-milliseconds wholeEvery(std::size_t receivers);
+milliseconds digestInterval(std::size_t receivers);
 
 /// From one note to the next at the least, for a VM with so many receivers and \p capacity thousandths of a core.
-milliseconds noteEvery(std::size_t receivers, std::uint32_t capacity);
+milliseconds deltaInterval(std::size_t receivers, std::uint32_t capacity);
 
 /// Relays send each other a note at least so often, be it empty: whole words are longer apart in a large fleet.
-inline constexpr milliseconds signOfLife{150};
+inline constexpr milliseconds heartbeatInterval{150};
 
 /// A sender that announced its next word within \p due counts as gone after this: four words in a row were lost.
-milliseconds silenceOf(milliseconds due);
+milliseconds suspectTimeout(milliseconds nextWithin);
 
 /// What a VM with a few peers needs at the least before it takes another for gone: a process may stand still for some
 /// tenths of a second.
-inline constexpr milliseconds leastSilence{1000};
+inline constexpr milliseconds minSuspectTimeout{1000};
 
 /// What a VM that went silent had in flight and asked for is kept so long: its callers may still be served, and its
 /// members tell anew by another relay meanwhile.
-inline constexpr milliseconds keptWord{2000};
+inline constexpr milliseconds stateRetention{2000};
 
 } // namespace fuchsialoom::pacing
--- a/packages/fleet/include/fuchsialoom/fleet/relay_choice.h
+++ b/packages/fleet/include/fuchsialoom/fleet/relay_selection.h
@@ -5,7 +5,7 @@
 /// whoever is asked relays: no VM has to know which others are alive.
 #pragma once
 
-#include "fuchsialoom/fleet/roster.h"
+#include "fuchsialoom/fleet/membership_view.h"
 #include "fuchsialoom/support/time.h"
 
 #include <map>
@@ -15,24 +15,24 @@
 namespace fuchsialoom
 {
 
-class relay_choice
+class relay_selection
 {
 public:
-    relay_choice(vm_id self, domain_id domain);
+    relay_selection(vm_id self, domain_id domain);
 
     /// A word of \p relay for its members came; the next one comes within \p due.
-    void heard(instant now, const vm_id &relay, milliseconds due);
+    void onRelayHeard(instant now, const vm_id &relay, milliseconds nextWithin);
     /// The relays of the domain that are known to live.
-    void setLive(std::vector<vm_id> relays);
+    void setLiveRelays(std::vector<vm_id> relays);
     /// \p relay stops: another one is to be taken at once.
     void leaving(instant now, const vm_id &relay);
     /// Another VM sent its words here, to be relayed.
-    void asked(instant now);
+    void onRelayRequest(instant now);
     /// Nobody's words come here any more.
-    void unasked();
+    void clearRelayRequests();
 
     /// To be called before each use of what follows. \p keepRelaying: this VM is needed as a relay, whatever its rank.
-    void update(instant now, const roster &known, bool keepRelaying);
+    void update(instant now, const membership_view &membership, bool keepRelaying);
 
     bool isRelay() const
     {
@@ -50,9 +50,9 @@
     }
 
 private:
-    void choose(instant now, const std::vector<vm_record> &ranked, std::size_t count);
-    void moveUp(instant now, const std::vector<vm_record> &ranked, std::size_t count);
-    void take(instant now, const vm_id &relay);
+    void selectFromRanking(instant now, const std::vector<vm_record> &ranked, std::size_t count);
+    void switchToPreferred(instant now, const std::vector<vm_record> &ranked, std::size_t count);
+    void selectRelay(instant now, const vm_id &relay);
 
     const vm_id m_self;
     const domain_id m_domain;
@@ -60,8 +60,8 @@
     std::optional<vm_id> m_relay;
     bool m_served = false; ///< by m_relay, since it was chosen
     instant m_silentAt{}; ///< m_relay counts as gone from here on, unless it is heard before
-    instant m_askedUntil{};
-    std::vector<vm_id> m_live; ///< relays of the domain, as the relay told last
+    instant m_requestedUntil{};
+    std::vector<vm_id> m_liveRelays; ///< relays of the domain, as the relay told last
     std::map<vm_id, instant> m_avoided; ///< relays that fell silent or stop, and until when
 };
 
--- a/packages/fleet/lib/fleet_node.cpp
+++ b/packages/fleet/lib/fleet_node.cpp
@@ -12,26 +12,26 @@
 {
 
 /// Digests go to an address of which no VM is known for so long.
-static constexpr milliseconds seedTime{30000};
+static constexpr milliseconds seedLifetime{30000};
 /// And to one that another relay hears; it is told of again with every digest.
-static constexpr milliseconds toldRelayTime{3000};
+static constexpr milliseconds reportedRelayLifetime{3000};
 /// A count of live VMs isn't lowered before: members of a lost relay are heard by another one within this.
-static constexpr milliseconds liveHold{4000};
+static constexpr milliseconds liveCountHoldTime{4000};
 /// Names of VMs remembered, ten fleets of the size to design for.
-static constexpr std::size_t mostSeen = 4096;
+static constexpr std::size_t maxKnownSenders = 4096;
 
 fleet_node::fleet_node(vm_record self, std::uint64_t incarnation, fleet_events events)
     : m_self(std::move(self))
     , m_incarnation(incarnation)
     , m_events(std::move(events))
-    , m_choice(m_self.vm, m_self.domain)
+    , m_relaySelection(m_self.vm, m_self.domain)
 {
-    m_roster.put(m_self);
+    m_membership.put(m_self);
 }
 
 void fleet_node::know(instant now, vm_record record)
 {
-    if (m_roster.put(std::move(record))) {
+    if (m_membership.put(std::move(record))) {
         updateRole(now);
     }
 }
@@ -39,16 +39,16 @@
 void fleet_node::addSeed(instant now, const endpoint &address)
 {
     if (address != m_self.address) {
-        m_seeds[address] = now + seedTime;
+        m_seeds[address] = now + seedLifetime;
     }
 }
 
-bool fleet_node::isNews(const word_origin &origin)
+bool fleet_node::acceptMessage(const message_origin &origin)
 {
-    if (origin.vm == m_self.vm || (m_seen.size() >= mostSeen && !m_seen.contains(origin.vm))) {
+    if (origin.vm == m_self.vm || (m_lastMessages.size() >= maxKnownSenders && !m_lastMessages.contains(origin.vm))) {
         return false;
     }
-    seen_word &seen = m_seen[origin.vm];
+    last_message &seen = m_lastMessages[origin.vm];
     if (std::pair(origin.incarnation, origin.sequence) <= std::pair(seen.incarnation, seen.sequence)) {
         return false;
     }
@@ -59,16 +59,16 @@
 void fleet_node::onDatagram(instant now, const peer_datagram &datagram, const endpoint &from)
 {
     if (const auto *digest = std::get_if<peer_digest>(&datagram)) {
-        if (isNews(digest->origin)) {
+        if (acceptMessage(digest->origin)) {
             onDigest(now, *digest, from);
         }
-    } else if (const auto *note = std::get_if<flight_note>(&datagram)) {
-        if (isNews(note->origin)) {
-            onNote(now, *note);
+    } else if (const auto *delta = std::get_if<delta_message>(&datagram)) {
+        if (acceptMessage(delta->origin)) {
+            onDelta(now, *delta);
         }
-    } else if (const auto *word = std::get_if<member_word>(&datagram)) {
-        if (isNews(word->word.origin)) {
-            onRelayWord(now, *word);
+    } else if (const auto *message = std::get_if<member_update>(&datagram)) {
+        if (acceptMessage(message->message.origin)) {
+            onRelayUpdate(now, *message);
         }
     }
 }
@@ -94,70 +94,70 @@
 void fleet_node::onNotRelay(const vm_id &vm)
 {
     if (m_relays.erase(vm) > 0) {
-        dropSource(vm);
+        removeSource(vm);
     }
 }
 
 void fleet_node::onLeave(instant now, const vm_id &vm)
 {
     if (m_members.erase(vm) > 0) {
-        dropSource(vm);
+        removeSource(vm);
     }
     if (m_members.empty()) {
-        m_choice.unasked();
+        m_relaySelection.clearRelayRequests();
         updateRole(now);
     }
 }
 
-void fleet_node::takeFlights(instant now, const vm_id &source, const flight_counts &flights, bool isWhole)
+void fleet_node::applyInFlight(instant now, const vm_id &source, const in_flight_counts &inFlight, bool isFull)
 {
-    if (isWhole) {
-        m_all.set(now, source, flights);
+    if (isFull) {
+        m_fleetInFlight.set(now, source, inFlight);
     } else {
-        m_all.change(now, source, flights);
+        m_fleetInFlight.change(now, source, inFlight);
     }
-    m_events.onFlights(source, flights, isWhole);
+    m_events.onFlights(source, inFlight, isFull);
     if (!m_members.empty()) {
-        hastenNote(now);
+        scheduleDelta(now);
     }
 }
 
-void fleet_node::dropSource(const vm_id &source)
+void fleet_node::removeSource(const vm_id &source)
 {
-    m_group.forget(source);
-    m_all.forget(source);
-    m_events.onForgotten(source);
+    m_groupInFlight.forget(source);
+    m_fleetInFlight.forget(source);
+    m_events.onSourceRemoved(source);
 }
 
 void fleet_node::onMemberDigest(instant now, const peer_digest &digest, const endpoint &from)
 {
     const vm_id &vm = digest.origin.vm;
-    m_choice.asked(now);
+    m_relaySelection.onRelayRequest(now);
     updateRole(now);
     m_relays.erase(vm);
     const auto [found, isNew] = m_members.try_emplace(vm);
     member_state &member = found->second;
     member.address = from;
-    member.silentAt = now + std::max(pacing::keptWord, pacing::silenceOf(digest.due));
+    member.silentAt = now + std::max(pacing::stateRetention, pacing::suspectTimeout(digest.nextWithin));
     member.demand = digest.demand;
-    m_group.set(now, vm, digest.flights);
-    takeFlights(now, vm, digest.flights, true);
+    m_groupInFlight.set(now, vm, digest.inFlight);
+    applyInFlight(now, vm, digest.inFlight, true);
     m_events.onDemand(vm, digest.demand);
     m_events.onConfigVersion(vm, digest.configVersion);
-    hear(now, digest.holder, true);
+    updateHolder(now, digest.holder, true);
     if (digest.renounced) {
         m_events.onRenounced(*digest.renounced);
     }
-    for (const adapter_want &want : digest.wants) {
-        raiseWant(now, want);
-        m_events.onWant(want);
+    for (const adapter_request &adapterRequest : digest.adapterRequests) {
+        raiseWant(now, adapterRequest);
+        m_events.onWant(adapterRequest);
     }
-    hearNews(now, digest.news, true);
+    applyResidencyChanges(now, digest.residencyChanges, true);
     if (isNew) {
         m_events.onChange(fleet_change::MemberJoined, vm);
         hasten(now);
     }
-    countLive(now);
+    updateLiveVms(now);
 }
 
 void fleet_node::onRelayDigest(instant now, const peer_digest &digest, const endpoint &from)
@@ -165,12 +165,12 @@
     const vm_id &vm = digest.origin.vm;
     m_events.onConfigVersion(vm, digest.configVersion);
     updateRole(now);
-    if (!m_choice.isRelay()) {
-        m_mistaken.push_back(from); // this VM's relay tells of everybody, the sender among them
+    if (!m_relaySelection.isRelay()) {
+        m_notRelayReceivers.push_back(from); // this VM's relay tells of everybody, the sender among them
         return;
     }
     m_members.erase(vm);
-    m_group.forget(vm);
+    m_groupInFlight.forget(vm);
     const auto [found, isNew] = m_relays.try_emplace(vm);
     peer_state &peer = found->second;
     if (isNew || !peer.live) {
@@ -179,29 +179,29 @@
             hasten(now);
         }
     }
-    peer = {from, std::max<std::uint32_t>(1, digest.vms), now, now + pacing::silenceOf(digest.due), true};
-    takeFlights(now, vm, digest.flights, true);
+    peer = {from, std::max<std::uint32_t>(1, digest.vms), now, now + pacing::suspectTimeout(digest.nextWithin), true};
+    applyInFlight(now, vm, digest.inFlight, true);
     m_events.onDemand(vm, digest.demand);
-    hear(now, digest.holder, false);
+    updateHolder(now, digest.holder, false);
     if (digest.renounced) {
         m_events.onRenounced(*digest.renounced);
     }
-    for (const adapter_want &want : digest.wants) {
-        m_events.onWant(want);
+    for (const adapter_request &adapterRequest : digest.adapterRequests) {
+        m_events.onWant(adapterRequest);
     }
-    hearNews(now, digest.news, false);
+    applyResidencyChanges(now, digest.residencyChanges, false);
     for (const endpoint &relay : digest.relays) {
-        if (relay != m_self.address && m_seeds.size() < mostSeen) {
+        if (relay != m_self.address && m_seeds.size() < maxKnownSenders) {
             instant &until = m_seeds[relay];
-            until = std::max(until, now + toldRelayTime);
+            until = std::max(until, now + reportedRelayLifetime);
         }
     }
-    countLive(now);
+    updateLiveVms(now);
 }
 
-void fleet_node::onNote(instant now, const flight_note &note)
+void fleet_node::onDelta(instant now, const delta_message &delta)
 {
-    const vm_id &vm = note.origin.vm;
+    const vm_id &vm = delta.origin.vm;
     const bool isMember = m_members.contains(vm);
     const auto relay = m_relays.find(vm);
     if (!isMember && relay == m_relays.end()) {
@@ -209,122 +209,122 @@
     }
     if (relay != m_relays.end()) {
         relay->second.heardAt = now;
-        relay->second.silentAt = std::max(relay->second.silentAt, now + pacing::leastSilence);
+        relay->second.silentAt = std::max(relay->second.silentAt, now + pacing::minSuspectTimeout);
     }
     if (isMember) {
-        m_group.change(now, vm, note.changed);
-        hastenNote(now);
+        m_groupInFlight.change(now, vm, delta.changed);
+        scheduleDelta(now);
     }
-    takeFlights(now, vm, note.changed, false);
-    for (const adapter_want &want : note.wants) {
+    applyInFlight(now, vm, delta.changed, false);
+    for (const adapter_request &adapterRequest : delta.adapterRequests) {
         if (isMember) {
-            raiseWant(now, want);
+            raiseWant(now, adapterRequest);
         }
-        m_events.onWant(want);
+        m_events.onWant(adapterRequest);
     }
-    hearNews(now, note.news, isMember);
+    applyResidencyChanges(now, delta.residencyChanges, isMember);
 }
 
-void fleet_node::onRelayWord(instant now, const member_word &told)
+void fleet_node::onRelayUpdate(instant now, const member_update &received)
 {
-    const relay_word &word = told.word;
-    const vm_id &relay = word.origin.vm;
+    const relay_update &message = received.message;
+    const vm_id &relay = message.origin.vm;
     updateRole(now);
-    if (m_choice.relay() != relay) {
+    if (m_relaySelection.relay() != relay) {
         return;
     }
-    if (word.leaving) {
-        m_choice.leaving(now, relay);
+    if (message.leaving) {
+        m_relaySelection.leaving(now, relay);
         updateRole(now);
         return;
     }
-    m_choice.heard(now, relay, word.due);
-    flight_counts others = word.flights;
-    for (auto &[key, flights] : others) {
-        const auto mine = told.yours.find(key);
-        if (mine != told.yours.end()) {
-            flights -= mine->second;
+    m_relaySelection.onRelayHeard(now, relay, message.nextWithin);
+    in_flight_counts others = message.inFlight;
+    for (auto &[key, inFlight] : others) {
+        const auto mine = received.receiverInFlight.find(key);
+        if (mine != received.receiverInFlight.end()) {
+            inFlight -= mine->second;
         }
     }
-    if (word.isWhole && m_flightsFrom != relay) {
-        if (m_flightsFrom) {
-            dropSource(*m_flightsFrom);
+    if (message.isFull && m_inFlightSource != relay) {
+        if (m_inFlightSource) {
+            removeSource(*m_inFlightSource);
         }
-        m_flightsFrom = relay;
+        m_inFlightSource = relay;
     }
-    if (m_flightsFrom == relay) {
-        m_events.onFlights(relay, others, word.isWhole);
+    if (m_inFlightSource == relay) {
+        m_events.onFlights(relay, others, message.isFull);
     }
-    if (word.isWhole) {
-        m_choice.setLive(word.relays);
+    if (message.isFull) {
+        m_relaySelection.setLiveRelays(message.relays);
     }
-    m_events.onConfigVersion(relay, word.configVersion);
-    hear(now, word.holder, false);
-    hearNews(now, word.news, false);
-    m_liveVms = std::max<std::uint32_t>(1, word.liveVms);
+    m_events.onConfigVersion(relay, message.configVersion);
+    updateHolder(now, message.holder, false);
+    applyResidencyChanges(now, message.residencyChanges, false);
+    m_liveVms = std::max<std::uint32_t>(1, message.liveVms);
     m_events.onLiveVms(m_liveVms);
 }
 
-void fleet_node::hear(instant now, const std::optional<holder_word> &holder, bool fromMember)
+void fleet_node::updateHolder(instant now, const std::optional<holder_announcement> &holder, bool fromMember)
 {
     if (!holder || (m_holder && now < m_holder->until && m_holder->fence > holder->fence)) {
         return;
     }
-    m_holder = known_holder{holder->fence, now + holder->wait, fromMember, now + pacing::leastSilence};
-    m_events.onHolder(holder->wait);
+    m_holder = known_holder{holder->fence, now + holder->wait, fromMember, now + pacing::minSuspectTimeout};
+    m_events.onHolderAnnounced(holder->wait);
 }
 
-void fleet_node::hearNews(instant now, const std::vector<residency_news> &news, bool fromMember)
+void fleet_node::applyResidencyChanges(instant now, const std::vector<residency_change> &residencyChanges, bool fromMember)
 {
-    for (const residency_news &one : news) {
-        m_events.onNews(one);
-        if (fromMember && !m_news.contains(one)) {
-            m_freshNews.push_back(one);
-            m_news[one] = now;
-        } else if (!fromMember && !m_members.empty() && !m_heardNews.contains(one)) {
-            m_freshHeardNews.push_back(one);
-            m_heardNews[one] = now;
+    for (const residency_change &one : residencyChanges) {
+        m_events.onResidencyChange(one);
+        if (fromMember && !m_residencyChanges.contains(one)) {
+            m_unsentChanges.push_back(one);
+            m_residencyChanges[one] = now;
+        } else if (!fromMember && !m_members.empty() && !m_changesForMembers.contains(one)) {
+            m_unsentChangesForMembers.push_back(one);
+            m_changesForMembers[one] = now;
         }
     }
-    if (!news.empty() && !m_members.empty()) {
-        hastenNote(now);
+    if (!residencyChanges.empty() && !m_members.empty()) {
+        scheduleDelta(now);
     }
 }
 
 void fleet_node::updateRole(instant now)
 {
-    const std::optional<vm_id> before = m_choice.relay();
-    m_choice.update(now, m_roster, m_holdsDuty);
-    if (m_choice.isRelay() != m_wasRelay) {
-        m_wasRelay = m_choice.isRelay();
-        m_liveHeldUntil = now + liveHold; // what the relay told holds until others are heard
+    const std::optional<vm_id> before = m_relaySelection.relay();
+    m_relaySelection.update(now, m_membership, m_holdsDuty);
+    if (m_relaySelection.isRelay() != m_wasRelay) {
+        m_wasRelay = m_relaySelection.isRelay();
+        m_liveVmsHeldUntil = now + liveCountHoldTime; // what the relay told holds until others are heard
         m_events.onChange(m_wasRelay ? fleet_change::BecameRelay : fleet_change::BecameMember, m_self.vm);
         // Words of the other kind of source would count flights twice.
         std::vector<vm_id> sources;
         for (const auto &[vm, peer] : m_relays) {
             sources.push_back(vm);
-            m_mistaken.push_back(peer.address);
+            m_notRelayReceivers.push_back(peer.address);
         }
         for (const auto &[vm, member] : m_members) {
             sources.push_back(vm);
         }
         m_relays.clear();
         m_members.clear();
-        if (m_wasRelay && m_flightsFrom) {
-            sources.push_back(*m_flightsFrom);
-            m_flightsFrom.reset();
+        if (m_wasRelay && m_inFlightSource) {
+            sources.push_back(*m_inFlightSource);
+            m_inFlightSource.reset();
         }
         for (const vm_id &source : sources) {
-            dropSource(source);
+            removeSource(source);
         }
         hasten(now);
     }
-    const vm_record *former = before && m_choice.relay() != before ? m_roster.find(*before) : nullptr;
+    const vm_record *former = before && m_relaySelection.relay() != before ? m_membership.find(*before) : nullptr;
     if (former) {
         m_formerRelays.push_back(former->address);
     }
-    if (m_choice.relay() && m_choice.relay() != before) {
-        m_events.onChange(fleet_change::RelayChosen, *m_choice.relay());
+    if (m_relaySelection.relay() && m_relaySelection.relay() != before) {
+        m_events.onChange(fleet_change::RelayChosen, *m_relaySelection.relay());
         hasten(now);
     }
 }
@@ -340,7 +340,7 @@
         ++one;
         if (isSilent) {
             m_members.erase(vm);
-            dropSource(vm);
+            removeSource(vm);
             m_events.onChange(fleet_change::MemberSilent, vm);
         }
     }
@@ -352,17 +352,17 @@
             peer.live = false;
             m_events.onChange(fleet_change::RelaySilent, vm);
         }
-        if (!peer.live && now >= peer.heardAt + pacing::keptWord) {
+        if (!peer.live && now >= peer.heardAt + pacing::stateRetention) {
             m_relays.erase(vm);
-            dropSource(vm);
+            removeSource(vm);
         }
     }
-    countLive(now);
+    updateLiveVms(now);
 }
 
-void fleet_node::countLive(instant now)
+void fleet_node::updateLiveVms(instant now)
 {
-    if (!m_choice.isRelay()) {
+    if (!m_relaySelection.isRelay()) {
         return; // the relay tells
     }
     std::size_t live = 1 + m_members.size();
@@ -370,9 +370,9 @@
         live += peer.live ? peer.vms : 0;
     }
     if (live >= m_liveVms) {
-        m_liveHeldUntil = now + liveHold;
+        m_liveVmsHeldUntil = now + liveCountHoldTime;
     }
-    if (live > m_liveVms || (live < m_liveVms && now >= m_liveHeldUntil)) {
+    if (live > m_liveVms || (live < m_liveVms && now >= m_liveVmsHeldUntil)) {
         m_liveVms = live;
         m_events.onLiveVms(live);
     }
@@ -380,14 +380,14 @@
 
 const vm_record *fleet_node::servingRelay(instant now) const
 {
-    return m_choice.isServed(now) ? m_roster.find(*m_choice.relay()) : nullptr;
+    return m_relaySelection.isServed(now) ? m_membership.find(*m_relaySelection.relay()) : nullptr;
 }
 
 std::vector<vm_record> fleet_node::liveRelays() const
 {
     std::vector<vm_record> live;
     for (const auto &[vm, peer] : m_relays) {
-        const vm_record *record = m_roster.find(vm);
+        const vm_record *record = m_membership.find(vm);
         if (peer.live && record) {
             live.push_back(*record);
         }
@@ -397,7 +397,7 @@
 
 std::optional<std::size_t> fleet_node::dutyRank() const
 {
-    if (!m_choice.isRelay()) {
+    if (!m_relaySelection.isRelay()) {
         return std::nullopt;
     }
     const auto order = [](const vm_record &one) {
@@ -405,7 +405,7 @@
     };
     // One whose record isn't known yet goes first.
     return std::ranges::count_if(m_relays, [this, order](const auto &entry) {
-        const vm_record *record = m_roster.find(entry.first);
+        const vm_record *record = m_membership.find(entry.first);
         return entry.second.live && (!record || order(*record) < order(m_self));
     });
 }
--- a/packages/fleet/lib/fleet_sending.cpp
+++ b/packages/fleet/lib/fleet_sending.cpp
@@ -12,15 +12,15 @@
 {
 
 /// A change that others wait for goes out so soon; what changes meanwhile goes along.
-static constexpr milliseconds hasteDelay{4};
+static constexpr milliseconds batchingDelay{4};
 /// Adapters that requests waited for within this are still wanted.
-static constexpr milliseconds wantHold{400};
+static constexpr milliseconds adapterRequestLifetime{400};
 /// What targets hold now is told again for so long, since datagrams are lost now and then.
-static constexpr milliseconds newsRepeat{1000};
+static constexpr milliseconds residencyRepeatTime{1000};
 /// Entries of demand in a digest, the largest first: what fits beside the flights of all targets.
-static constexpr std::size_t mostDemand = 500;
+static constexpr std::size_t maxDemandEntries = 500;
 
-word_origin fleet_node::nextOrigin()
+message_origin fleet_node::nextOrigin()
 {
     m_sequence += 1;
     return {m_self.vm, m_incarnation, m_sequence};
@@ -28,62 +28,62 @@
 
 void fleet_node::hasten(instant now)
 {
-    const instant soonest = m_lastWholeAt + pacing::wholeEvery(receivers()) / 2;
-    m_wholeAt = std::min(m_wholeAt, std::max(now + hasteDelay, soonest));
+    const instant soonest = m_lastDigestAt + pacing::digestInterval(receiverCount()) / 2;
+    m_nextDigestAt = std::min(m_nextDigestAt, std::max(now + batchingDelay, soonest));
 }
 
-void fleet_node::hastenNote(instant now)
+void fleet_node::scheduleDelta(instant now)
 {
-    if (m_noteAt == farFuture) {
-        const milliseconds spacing = pacing::noteEvery(receivers(), m_self.capacity);
-        m_noteAt = std::max(now + pacing::noteEvery(1, m_self.capacity), m_lastNoteAt + spacing);
+    if (m_nextDeltaAt == farFuture) {
+        const milliseconds spacing = pacing::deltaInterval(receiverCount(), m_self.capacity);
+        m_nextDeltaAt = std::max(now + pacing::deltaInterval(1, m_self.capacity), m_lastDeltaAt + spacing);
     }
 }
 
 void fleet_node::noteFlights(instant now)
 {
-    hastenNote(now);
+    scheduleDelta(now);
 }
 
-void fleet_node::raiseWant(instant now, const adapter_want &want)
+void fleet_node::raiseWant(instant now, const adapter_request &adapterRequest)
 {
-    const auto [found, isNew] = m_wants.insert_or_assign(want, now);
+    const auto [found, isNew] = m_adapterRequests.insert_or_assign(adapterRequest, now);
     if (isNew) {
-        m_newWants.push_back(want);
-        hastenNote(now);
+        m_unsentAdapterRequests.push_back(adapterRequest);
+        scheduleDelta(now);
     }
 }
 
-void fleet_node::tellNews(instant now, const std::vector<residency_news> &news)
+void fleet_node::tellNews(instant now, const std::vector<residency_change> &residencyChanges)
 {
-    for (const residency_news &one : news) {
-        residency_news opposite = one;
+    for (const residency_change &one : residencyChanges) {
+        residency_change opposite = one;
         opposite.present = !one.present;
-        m_news.erase(opposite);
-        std::erase(m_freshNews, opposite);
-        m_news[one] = now;
-        m_freshNews.push_back(one);
+        m_residencyChanges.erase(opposite);
+        std::erase(m_unsentChanges, opposite);
+        m_residencyChanges[one] = now;
+        m_unsentChanges.push_back(one);
     }
-    hastenNote(now);
+    scheduleDelta(now);
 }
 
 instant fleet_node::nextAt() const
 {
-    const instant signAt = m_choice.isRelay() ? m_lastNoteAt + pacing::signOfLife : farFuture;
-    return std::min({m_wholeAt, m_noteAt, signAt});
+    const instant signAt = m_relaySelection.isRelay() ? m_lastDeltaAt + pacing::heartbeatInterval : farFuture;
+    return std::min({m_nextDigestAt, m_nextDeltaAt, signAt});
 }
 
-std::size_t fleet_node::receivers() const
+std::size_t fleet_node::receiverCount() const
 {
-    return m_choice.isRelay() ? m_members.size() + m_mesh.size() : 1;
+    return m_relaySelection.isRelay() ? m_members.size() + m_relayAddresses.size() : 1;
 }
 
 /// The relays of all domains by the ranking, whoever else speaks as a relay, and addresses of unknown VMs.
-std::vector<endpoint> fleet_node::meshAddresses() const
+std::vector<endpoint> fleet_node::relayAddresses() const
 {
     std::set<endpoint> addresses;
-    for (const domain_id &domain : m_roster.domains()) {
-        for (const vm_record &record : m_roster.relaysOf(domain)) {
+    for (const domain_id &domain : m_membership.domains()) {
+        for (const vm_record &record : m_membership.relaysOf(domain)) {
             addresses.insert(record.address);
         }
     }
@@ -102,10 +102,10 @@
 
 std::vector<demand_entry> fleet_node::groupDemand(const std::vector<demand_entry> &own) const
 {
-    std::map<std::pair<model_id, adapter_id>, demand_entry> sums;
-    const auto add = [&sums](const std::vector<demand_entry> &entries) {
+    std::map<std::pair<model_id, adapter_id>, demand_entry> totals;
+    const auto add = [&totals](const std::vector<demand_entry> &entries) {
         for (const demand_entry &entry : entries) {
-            demand_entry &sum = sums[{entry.model, entry.adapter}];
+            demand_entry &sum = totals[{entry.model, entry.adapter}];
             sum.model = entry.model;
             sum.adapter = entry.adapter;
             sum.arrivals += entry.arrivals;
@@ -118,26 +118,26 @@
         add(member.demand);
     }
     std::vector<demand_entry> entries;
-    entries.reserve(sums.size());
-    for (const auto &[key, sum] : sums) {
+    entries.reserve(totals.size());
+    for (const auto &[key, sum] : totals) {
         entries.push_back(sum);
     }
-    if (entries.size() > mostDemand) {
+    if (entries.size() > maxDemandEntries) {
         std::ranges::stable_sort(entries, std::ranges::greater(), [](const demand_entry &entry) {
             return entry.waiting + entry.running;
         });
-        entries.resize(mostDemand);
+        entries.resize(maxDemandEntries);
     }
     return entries;
 }
 
-std::optional<holder_word> fleet_node::holderAt(instant now) const
+std::optional<holder_announcement> fleet_node::holderAt(instant now) const
 {
     if (!m_holder || now >= m_holder->until) {
         return std::nullopt;
     }
     const auto wait = std::chrono::duration_cast<milliseconds>(m_holder->ordersFrom - now);
-    return holder_word{m_holder->fence, std::max(milliseconds(0), wait)};
+    return holder_announcement{m_holder->fence, std::max(milliseconds(0), wait)};
 }
 
 template<typename Key>
@@ -151,22 +151,22 @@
     return keys;
 }
 
-fleet_outbox::relay_out fleet_node::relayOut(instant now, bool isWhole, flight_counts flights)
+fleet_outbox::outgoing_relay_update fleet_node::makeRelayUpdate(instant now, bool isFull, in_flight_counts inFlight)
 {
-    fleet_outbox::relay_out out;
-    out.word.origin = nextOrigin();
-    out.word.isWhole = isWhole;
-    out.word.due = pacing::wholeEvery(receivers());
-    out.word.liveVms = static_cast<std::uint32_t>(m_liveVms);
-    out.word.holder = holderAt(now);
-    out.word.flights = std::move(flights);
+    fleet_outbox::outgoing_relay_update out;
+    out.message.origin = nextOrigin();
+    out.message.isFull = isFull;
+    out.message.nextWithin = pacing::digestInterval(receiverCount());
+    out.message.liveVms = static_cast<std::uint32_t>(m_liveVms);
+    out.message.holder = holderAt(now);
+    out.message.inFlight = std::move(inFlight);
     for (const auto &[vm, member] : m_members) {
-        out.to.emplace_back(member.address, m_group.toldBy(vm));
+        out.to.emplace_back(member.address, m_groupInFlight.reportedBy(vm));
     }
     return out;
 }
 
-void fleet_node::sendRequest(relay_request request, std::vector<endpoint> to, fleet_outbox &out)
+void fleet_node::sendRelayRequest(relay_request request, std::vector<endpoint> to, fleet_outbox &out)
 {
     if (to.empty()) {
         return;
@@ -178,59 +178,59 @@
 }
 
 /// Without these, others would count this VM's flights by two words until one of them lapses.
-void fleet_node::sendRequests(fleet_outbox &out)
+void fleet_node::sendRelayRequests(fleet_outbox &out)
 {
-    sendRequest(relay_request::Leave, std::exchange(m_formerRelays, {}), out);
-    sendRequest(relay_request::NotRelay, std::exchange(m_mistaken, {}), out);
+    sendRelayRequest(relay_request::Leave, std::exchange(m_formerRelays, {}), out);
+    sendRelayRequest(relay_request::NotRelay, std::exchange(m_notRelayReceivers, {}), out);
 }
 
-void fleet_node::sendWhole(instant now, fleet_outbox &out)
+void fleet_node::sendDigests(instant now, fleet_outbox &out)
 {
-    std::erase_if(m_wants, [now](const auto &entry) {
-        return now - entry.second > wantHold;
+    std::erase_if(m_adapterRequests, [now](const auto &entry) {
+        return now - entry.second > adapterRequestLifetime;
     });
-    for (auto *told : {&m_news, &m_heardNews}) {
+    for (auto *told : {&m_residencyChanges, &m_changesForMembers}) {
         std::erase_if(*told, [now](const auto &entry) {
-            return now - entry.second > newsRepeat;
+            return now - entry.second > residencyRepeatTime;
         });
     }
-    peer_digest digest = m_events.compose();
-    m_events.changedFlights(); // the whole digest tells them
+    peer_digest digest = m_events.makeDigest();
+    m_events.takeChangedInFlight(); // the whole digest tells them
     m_holdsDuty = digest.holder.has_value();
-    digest.due = pacing::wholeEvery(receivers());
-    digest.wants = keysOf(m_wants);
-    digest.news = keysOf(m_news);
+    digest.nextWithin = pacing::digestInterval(receiverCount());
+    digest.adapterRequests = keysOf(m_adapterRequests);
+    digest.residencyChanges = keysOf(m_residencyChanges);
     m_events.onDemand(m_self.vm, digest.demand);
-    m_group.set(now, m_self.vm, digest.flights);
-    m_all.set(now, m_self.vm, digest.flights);
-    m_newWants.clear();
-    m_freshNews.clear();
-    m_freshHeardNews.clear();
-    if (!m_choice.isRelay()) {
+    m_groupInFlight.set(now, m_self.vm, digest.inFlight);
+    m_fleetInFlight.set(now, m_self.vm, digest.inFlight);
+    m_unsentAdapterRequests.clear();
+    m_unsentChanges.clear();
+    m_unsentChangesForMembers.clear();
+    if (!m_relaySelection.isRelay()) {
         digest.origin = nextOrigin();
         digest.request = relay_request::Relay;
-        if (const vm_record *relay = m_roster.find(*m_choice.relay())) {
+        if (const vm_record *relay = m_membership.find(*m_relaySelection.relay())) {
             out.digests.push_back({std::move(digest), {relay->address}});
         }
         return;
     }
     if (!m_members.empty()) {
-        fleet_outbox::relay_out toMembers = relayOut(now, true, m_all.sums());
-        toMembers.word.leaving = digest.leaving;
-        toMembers.word.configVersion = digest.configVersion;
+        fleet_outbox::outgoing_relay_update toMembers = makeRelayUpdate(now, true, m_fleetInFlight.totals());
+        toMembers.message.leaving = digest.leaving;
+        toMembers.message.configVersion = digest.configVersion;
         if (digest.holder) {
-            toMembers.word.holder = digest.holder;
+            toMembers.message.holder = digest.holder;
         }
-        toMembers.word.news = keysOf(m_news);
-        for (const residency_news &one : keysOf(m_heardNews)) {
-            toMembers.word.news.push_back(one);
+        toMembers.message.residencyChanges = keysOf(m_residencyChanges);
+        for (const residency_change &one : keysOf(m_changesForMembers)) {
+            toMembers.message.residencyChanges.push_back(one);
         }
         for (const vm_record &one : liveRelays()) {
             if (one.domain == m_self.domain) {
-                toMembers.word.relays.push_back(one.vm);
+                toMembers.message.relays.push_back(one.vm);
             }
         }
-        out.relayWords.push_back(std::move(toMembers));
+        out.relayUpdates.push_back(std::move(toMembers));
     }
     for (const auto &[vm, peer] : m_relays) {
         if (peer.live) {
@@ -243,43 +243,43 @@
     digest.origin = nextOrigin();
     digest.vms = static_cast<std::uint32_t>(1 + m_members.size());
     digest.demand = groupDemand(digest.demand);
-    digest.flights = m_group.sums();
-    m_group.takeChanged();
-    m_all.takeChanged();
-    out.digests.push_back({std::move(digest), m_mesh});
+    digest.inFlight = m_groupInFlight.totals();
+    m_groupInFlight.takeChanged();
+    m_fleetInFlight.takeChanged();
+    out.digests.push_back({std::move(digest), m_relayAddresses});
 }
 
-void fleet_node::sendNotes(instant now, fleet_outbox &out)
+void fleet_node::sendDeltas(instant now, fleet_outbox &out)
 {
-    const flight_counts own = m_events.changedFlights();
-    if (!m_choice.isRelay()) {
-        const vm_record *relay = m_roster.find(*m_choice.relay());
-        flight_note note;
-        note.changed = own;
-        note.wants = std::exchange(m_newWants, {});
-        note.news = std::exchange(m_freshNews, {});
-        if (relay && (!note.changed.empty() || !note.wants.empty() || !note.news.empty())) {
-            note.origin = nextOrigin();
-            out.notes.push_back({std::move(note), {relay->address}});
+    const in_flight_counts own = m_events.takeChangedInFlight();
+    if (!m_relaySelection.isRelay()) {
+        const vm_record *relay = m_membership.find(*m_relaySelection.relay());
+        delta_message delta;
+        delta.changed = own;
+        delta.adapterRequests = std::exchange(m_unsentAdapterRequests, {});
+        delta.residencyChanges = std::exchange(m_unsentChanges, {});
+        if (relay && (!delta.changed.empty() || !delta.adapterRequests.empty() || !delta.residencyChanges.empty())) {
+            delta.origin = nextOrigin();
+            out.deltas.push_back({std::move(delta), {relay->address}});
         }
         return;
     }
-    m_group.change(now, m_self.vm, own);
-    m_all.change(now, m_self.vm, own);
-    flight_counts changed = m_all.takeChanged();
-    std::vector<residency_news> heardNews = std::exchange(m_freshHeardNews, {});
-    if (!m_members.empty() && (!changed.empty() || !heardNews.empty() || !m_freshNews.empty())) {
-        fleet_outbox::relay_out toMembers = relayOut(now, false, std::move(changed));
-        toMembers.word.news = std::move(heardNews);
-        toMembers.word.news.insert(toMembers.word.news.end(), m_freshNews.begin(), m_freshNews.end());
-        out.relayWords.push_back(std::move(toMembers));
+    m_groupInFlight.change(now, m_self.vm, own);
+    m_fleetInFlight.change(now, m_self.vm, own);
+    in_flight_counts changed = m_fleetInFlight.takeChanged();
+    std::vector<residency_change> heardNews = std::exchange(m_unsentChangesForMembers, {});
+    if (!m_members.empty() && (!changed.empty() || !heardNews.empty() || !m_unsentChanges.empty())) {
+        fleet_outbox::outgoing_relay_update toMembers = makeRelayUpdate(now, false, std::move(changed));
+        toMembers.message.residencyChanges = std::move(heardNews);
+        toMembers.message.residencyChanges.insert(toMembers.message.residencyChanges.end(), m_unsentChanges.begin(), m_unsentChanges.end());
+        out.relayUpdates.push_back(std::move(toMembers));
     }
-    flight_note note;
-    note.origin = nextOrigin();
-    note.changed = m_group.takeChanged();
-    note.wants = std::exchange(m_newWants, {});
-    note.news = std::exchange(m_freshNews, {});
-    out.notes.push_back({std::move(note), m_mesh}); // a sign of life where it is empty
+    delta_message delta;
+    delta.origin = nextOrigin();
+    delta.changed = m_groupInFlight.takeChanged();
+    delta.adapterRequests = std::exchange(m_unsentAdapterRequests, {});
+    delta.residencyChanges = std::exchange(m_unsentChanges, {});
+    out.deltas.push_back({std::move(delta), m_relayAddresses}); // a sign of life where it is empty
 }
 
 fleet_outbox fleet_node::advance(instant now)
@@ -287,18 +287,18 @@
     fleet_outbox out;
     expire(now);
     updateRole(now);
-    m_mesh = m_choice.isRelay() ? meshAddresses() : std::vector<endpoint>();
-    sendRequests(out);
-    if (now >= m_wholeAt) {
-        sendWhole(now, out);
-        m_lastWholeAt = now;
-        m_wholeAt = now + pacing::wholeEvery(receivers());
-        m_noteAt = farFuture;
-        m_lastNoteAt = now;
+    m_relayAddresses = m_relaySelection.isRelay() ? relayAddresses() : std::vector<endpoint>();
+    sendRelayRequests(out);
+    if (now >= m_nextDigestAt) {
+        sendDigests(now, out);
+        m_lastDigestAt = now;
+        m_nextDigestAt = now + pacing::digestInterval(receiverCount());
+        m_nextDeltaAt = farFuture;
+        m_lastDeltaAt = now;
     } else if (now >= nextAt()) {
-        m_noteAt = farFuture;
-        sendNotes(now, out);
-        m_lastNoteAt = now;
+        m_nextDeltaAt = farFuture;
+        sendDeltas(now, out);
+        m_lastDeltaAt = now;
     }
     return out;
 }
--- /dev/null
+++ b/packages/fleet/unittests/messages_test.cpp
@@ -0,0 +1,108 @@
+/// \file
+/// Digests come through whole, and bytes that are none are dropped.
+#include "fuchsialoom/fleet/messages.h"
+
+#include <gtest/gtest.h>
+
+#include <random>
+
+namespace fuchsialoom
+{
+
+static peer_digest sampleDigest()
+{
+    peer_digest digest;
+    digest.origin = {vm_id("vm-1"), 1764700000000000, 7};
+    digest.request = relay_request::Relay;
+    digest.vms = 24;
+    digest.nextWithin = milliseconds(280);
+    digest.configVersion = 12;
+    digest.leaving = true;
+    digest.holder = holder_announcement{40, milliseconds(2400)};
+    digest.renounced = renounced_fence{39, milliseconds(1200)};
+    digest.inFlight = {{target_id("e1"), {3, 800}}, {target_id("e2"), {1, 0}}};
+    digest.demand = {{model_id("m"), {}, 100, 2, 3}, {model_id("m"), adapter_id("a1"), 0, 0, 1}};
+    digest.adapterRequests = {{service_id("s"), model_id("m"), adapter_id("a2")}};
+    digest.residencyChanges = {{target_id("e1"), model_id("m"), adapter_id("a3"), false}};
+    digest.relays = {{"10.0.0.1", 7380}};
+    return digest;
+}
+
+static member_update sampleMemberUpdate()
+{
+    member_update update;
+    update.message.origin = {vm_id("vm-4"), 3, 8};
+    update.message.isFull = true;
+    update.message.nextWithin = milliseconds(300);
+    update.message.liveVms = 295;
+    update.message.configVersion = 12;
+    update.message.holder = holder_announcement{40, milliseconds(0)};
+    update.message.residencyChanges = {{target_id("e1"), model_id("m"), {}, true}};
+    update.message.relays = {vm_id("vm-4"), vm_id("vm-5")};
+    update.message.inFlight = {{target_id("e1"), {12, 9000}}};
+    update.receiverInFlight = {{target_id("e1"), {2, 600}}};
+    return update;
+}
+
+static std::string encodeSample(const member_update &update)
+{
+    return encodeMemberUpdate(encodeRelayUpdate(update.message), update.receiverInFlight);
+}
+
+TEST(messages, roundTrip)
+{
+    const peer_digest digest = sampleDigest();
+    EXPECT_EQ(decodeDatagram(encodeDigest(digest)), peer_datagram(digest));
+    peer_digest plain;
+    plain.origin.vm = vm_id("vm-2");
+    EXPECT_EQ(decodeDatagram(encodeDigest(plain)), peer_datagram(plain));
+    const delta_message delta{{vm_id("vm-3"), 5, 9},
+                           {{target_id("e1"), {0, 0}}, {target_id("e2"), {4, 1800}}},
+                           {{service_id("s"), model_id("m"), adapter_id("a2")}},
+                           {{target_id("e1"), model_id("m"), adapter_id("a3"), false}}};
+    EXPECT_EQ(decodeDatagram(encodeDelta(delta)), peer_datagram(delta));
+    const member_update update = sampleMemberUpdate();
+    EXPECT_EQ(decodeDatagram(encodeSample(update)), peer_datagram(update));
+}
+
+TEST(messages, timesAndCountsAreBounded)
+{
+    peer_digest digest = sampleDigest();
+    digest.nextWithin = std::chrono::hours(1000000);
+    digest.holder = holder_announcement{40, milliseconds(-5)};
+    digest.inFlight = {{target_id("e1"), {4000000000U, 4000000000U}}};
+    const auto decoded = decodeDatagram(encodeDigest(digest));
+    ASSERT_TRUE(decoded);
+    const auto &read = std::get<peer_digest>(*decoded);
+    EXPECT_LE(read.nextWithin, std::chrono::minutes(1));
+    EXPECT_GE(read.holder->wait, milliseconds(0));
+    EXPECT_LE(read.inFlight.begin()->second.requests, 1000000U);
+    EXPECT_LE(read.inFlight.begin()->second.unreadTokens, 100000000U);
+}
+
+TEST(messages, deepNestingIsDropped)
+{
+    const std::string nested(60000, '\x81');
+    EXPECT_FALSE(decodeDatagram(nested));
+    const std::string objects(60000, '\xa1');
+    EXPECT_FALSE(decodeDatagram(objects));
+}
+
+TEST(messages, invalidBytesAreRejected)
+{
+    EXPECT_FALSE(decodeDatagram(""));
+    EXPECT_FALSE(decodeDatagram("hello"));
+    for (const std::string &whole : {encodeDigest(sampleDigest()), encodeSample(sampleMemberUpdate())}) {
+        for (std::size_t size = 0; size < whole.size(); ++size) {
+            EXPECT_FALSE(decodeDatagram(std::string_view(whole).substr(0, size)));
+        }
+        std::mt19937 random(20261202);
+        for (int round = 0; round < 10000; ++round) {
+            std::string bytes = whole;
+            bytes[random() % bytes.size()] = static_cast<char>(random());
+            decodeDatagram(bytes);
+        }
+    }
+}
+
+} // namespace fuchsialoom
--- a/packages/fleet/unittests/fleet_world.cpp
+++ b/packages/fleet/unittests/simulated_fleet.cpp
@@ -7,7 +7,7 @@
 namespace fuchsialoom
 {
 
-fleet_world::fleet_world(fleet_world_options options)
+simulated_fleet::simulated_fleet(simulated_fleet_options options)
     : m_options(options)
     , m_random(options.seed)
     , m_vms(options.vms)
@@ -22,47 +22,47 @@
     }
 }
 
-fleet_events fleet_world::eventsOf(std::size_t vm)
+fleet_events simulated_fleet::eventsOf(std::size_t vm)
 {
     vm_state &state = m_vms[vm];
     fleet_events events;
-    events.compose = [&state] {
+    events.makeDigest = [&state] {
         peer_digest digest;
-        digest.flights = state.own;
+        digest.inFlight = state.own;
         digest.demand = state.ownDemand;
         if (state.fence) {
-            digest.holder = holder_word{*state.fence, milliseconds(0)};
+            digest.holder = holder_announcement{*state.fence, milliseconds(0)};
         }
         return digest;
     };
-    events.changedFlights = [&state] {
-        flight_counts changed;
+    events.takeChangedInFlight = [&state] {
+        in_flight_counts changed;
         for (const target_key key : state.changed) {
-            changed[key] = state.own.contains(key) ? state.own.at(key) : target_flights();
+            changed[key] = state.own.contains(key) ? state.own.at(key) : target_in_flight();
         }
         state.changed.clear();
         return changed;
     };
-    events.onFlights = [this, &state](const vm_id &source, const flight_counts &flights, bool isWhole) {
-        if (isWhole) {
-            state.seen.set(m_now, source, flights);
+    events.onFlights = [this, &state](const vm_id &source, const in_flight_counts &inFlight, bool isFull) {
+        if (isFull) {
+            state.seen.set(m_now, source, inFlight);
         } else {
-            state.seen.change(m_now, source, flights);
+            state.seen.change(m_now, source, inFlight);
         }
     };
-    events.onForgotten = [&state](const vm_id &source) {
+    events.onSourceRemoved = [&state](const vm_id &source) {
         state.seen.forget(source);
     };
     events.onDemand = [&state](const vm_id &source, const std::vector<demand_entry> &demand) {
         state.demand[source] = demand;
     };
-    events.onWant = [&state](const adapter_want &want) {
-        state.wants.insert(want);
+    events.onWant = [&state](const adapter_request &adapterRequest) {
+        state.adapterRequests.insert(adapterRequest);
     };
-    events.onNews = [&state](const residency_news &news) {
-        state.news.insert(news);
+    events.onResidencyChange = [&state](const residency_change &residencyChanges) {
+        state.residencyChanges.insert(residencyChanges);
     };
-    events.onHolder = [this, &state](milliseconds) {
+    events.onHolderAnnounced = [this, &state](milliseconds) {
         state.holderHeardAt = m_now;
     };
     events.onRenounced = [](const renounced_fence &) {};
@@ -72,22 +72,22 @@
         state.lowestLive = std::min(state.lowestLive, live);
     };
     events.onChange = [&state](fleet_change change, const vm_id &) {
-        state.silentRelays += change == fleet_change::RelaySilent ? 1 : 0;
+        state.suspectedRelays += change == fleet_change::RelaySilent ? 1 : 0;
     };
     return events;
 }
 
-void fleet_world::start(std::size_t vm)
+void simulated_fleet::start(std::size_t vm)
 {
     vm_state &state = m_vms[vm];
     state.incarnation += 1;
-    state.seen = flight_ledger();
+    state.seen = in_flight_tracker();
     state.own.clear();
     state.changed.clear();
     state.node = std::make_unique<fleet_node>(state.record, state.incarnation, eventsOf(vm));
 }
 
-void fleet_world::startAll()
+void simulated_fleet::startAll()
 {
     std::vector<std::size_t> order;
     for (std::size_t vm = 0; vm < m_vms.size(); ++vm) {
@@ -113,7 +113,7 @@
     }
 }
 
-void fleet_world::restart(std::size_t vm)
+void simulated_fleet::restart(std::size_t vm)
 {
     start(vm);
     for (const vm_state &other : m_vms) {
@@ -121,27 +121,27 @@
     }
 }
 
-void fleet_world::kill(std::size_t vm)
+void simulated_fleet::kill(std::size_t vm)
 {
     m_vms[vm].node.reset();
     m_vms[vm].own.clear();
 }
 
-void fleet_world::freeze(std::size_t vm, bool frozen)
+void simulated_fleet::freeze(std::size_t vm, bool frozen)
 {
     m_vms[vm].frozen = frozen;
 }
 
-void fleet_world::cut(const domain_id &domain, bool isCut)
+void simulated_fleet::partition(const domain_id &domain, bool isPartitioned)
 {
-    if (isCut) {
-        m_cut.insert(domain);
+    if (isPartitioned) {
+        m_partitioned.insert(domain);
     } else {
-        m_cut.erase(domain);
+        m_partitioned.erase(domain);
     }
 }
 
-void fleet_world::begin(std::size_t vm, target_key target, std::uint32_t requests)
+void simulated_fleet::begin(std::size_t vm, target_key target, std::uint32_t requests)
 {
     vm_state &state = m_vms[vm];
     state.own[target] = {requests, requests * 100};
@@ -152,7 +152,7 @@
     state.node->noteFlights(m_now);
 }
 
-void fleet_world::launch(std::size_t from, const endpoint &to, const std::shared_ptr<const peer_datagram> &datagram)
+void simulated_fleet::transmit(std::size_t from, const endpoint &to, const std::shared_ptr<const peer_datagram> &datagram)
 {
     m_vms[from].sent += 1;
     std::uniform_real_distribution<double> share(0, 1);
@@ -161,31 +161,31 @@
     }
     const auto delay =
         microseconds(500) + microseconds(m_random() % static_cast<std::uint64_t>(microseconds(m_options.longestDelay).count()));
-    m_flying.emplace(m_now + delay, flying{datagram, from, to});
+    m_inTransit.emplace(m_now + delay, in_transit{datagram, from, to});
 }
 
-void fleet_world::send(std::size_t from, const fleet_outbox &out)
+void simulated_fleet::send(std::size_t from, const fleet_outbox &out)
 {
     for (const auto &one : out.digests) {
         const auto datagram = std::make_shared<const peer_datagram>(one.digest);
         for (const endpoint &to : one.to) {
-            launch(from, to, datagram);
+            transmit(from, to, datagram);
         }
     }
-    for (const auto &one : out.notes) {
-        const auto datagram = std::make_shared<const peer_datagram>(one.note);
+    for (const auto &one : out.deltas) {
+        const auto datagram = std::make_shared<const peer_datagram>(one.delta);
         for (const endpoint &to : one.to) {
-            launch(from, to, datagram);
+            transmit(from, to, datagram);
         }
     }
-    for (const auto &one : out.relayWords) {
-        for (const auto &[to, yours] : one.to) {
-            launch(from, to, std::make_shared<const peer_datagram>(member_word{one.word, yours}));
+    for (const auto &one : out.relayUpdates) {
+        for (const auto &[to, receiverInFlight] : one.to) {
+            transmit(from, to, std::make_shared<const peer_datagram>(member_update{one.message, receiverInFlight}));
         }
     }
 }
 
-void fleet_world::deliver(const flying &one)
+void simulated_fleet::deliver(const in_transit &one)
 {
     const auto to = m_byAddress.find(one.to);
     if (to == m_byAddress.end() || !m_vms[to->second].node || m_vms[to->second].frozen) {
@@ -193,7 +193,7 @@
     }
     const domain_id &source = m_vms[one.from].record.domain;
     const domain_id &target = m_vms[to->second].record.domain;
-    if (source != target && (m_cut.contains(source) || m_cut.contains(target))) {
+    if (source != target && (m_partitioned.contains(source) || m_partitioned.contains(target))) {
         return;
     }
     vm_state &state = m_vms[to->second];
@@ -201,12 +201,12 @@
     state.node->onDatagram(m_now, *one.datagram, m_vms[one.from].record.address);
 }
 
-void fleet_world::step()
+void simulated_fleet::step()
 {
     m_now += milliseconds(1);
-    while (!m_flying.empty() && m_flying.begin()->first <= m_now) {
-        const flying one = m_flying.begin()->second;
-        m_flying.erase(m_flying.begin());
+    while (!m_inTransit.empty() && m_inTransit.begin()->first <= m_now) {
+        const in_transit one = m_inTransit.begin()->second;
+        m_inTransit.erase(m_inTransit.begin());
         deliver(one);
     }
     for (std::size_t vm = 0; vm < m_vms.size(); ++vm) {
@@ -217,7 +217,7 @@
     }
 }
 
-void fleet_world::run(milliseconds length)
+void simulated_fleet::run(milliseconds length)
 {
     const instant until = m_now + length;
     while (m_now < until) {
@@ -225,7 +225,7 @@
     }
 }
 
-std::uint32_t fleet_world::othersAt(std::size_t vm, target_key target) const
+std::uint32_t simulated_fleet::inFlightOfOthers(std::size_t vm, target_key target) const
 {
     std::uint32_t sum = 0;
     for (std::size_t other = 0; other < m_vms.size(); ++other) {
@@ -235,7 +235,7 @@
     return sum;
 }
 
-std::vector<std::size_t> fleet_world::relays() const
+std::vector<std::size_t> simulated_fleet::relays() const
 {
     std::vector<std::size_t> found;
     for (std::size_t vm = 0; vm < m_vms.size(); ++vm) {
@@ -246,11 +246,11 @@
     return found;
 }
 
-void fleet_world::resetLowest()
+void simulated_fleet::resetCounters()
 {
     for (vm_state &state : m_vms) {
         state.lowestLive = state.live;
-        state.silentRelays = 0;
+        state.suspectedRelays = 0;
         state.sent = 0;
         state.received = 0;
     }
--- a/packages/fleet/unittests/fleet_world.h
+++ b/packages/fleet/unittests/simulated_fleet.h
@@ -15,7 +15,7 @@
 namespace fuchsialoom
 {
 
-struct fleet_world_options
+struct simulated_fleet_options
 {
     std::size_t vms = 9;
     std::size_t domains = 4;
@@ -24,7 +24,7 @@
     milliseconds longestDelay{3};
 };
 
-class fleet_world
+class simulated_fleet
 {
 public:
     struct vm_state
@@ -33,23 +33,23 @@
         std::unique_ptr<fleet_node> node;
         std::uint64_t incarnation = 0;
         bool frozen = false;
-        flight_counts own; ///< what it really has in flight
+        in_flight_counts own; ///< what it really has in flight
         std::set<target_key> changed;
-        flight_ledger seen; ///< what it was told of others
+        in_flight_tracker seen; ///< what it was told of others
         std::size_t live = 1; ///< VMs, as it was told
-        std::size_t lowestLive = 0; ///< since the last resetLowest()
+        std::size_t lowestLive = 0; ///< since the last resetCounters()
         std::optional<std::uint64_t> fence; ///< it holds the duty
         instant holderHeardAt{};
-        std::set<residency_news> news;
-        std::set<adapter_want> wants;
+        std::set<residency_change> residencyChanges;
+        std::set<adapter_request> adapterRequests;
         std::map<vm_id, std::vector<demand_entry>> demand;
         std::vector<demand_entry> ownDemand;
-        std::size_t silentRelays = 0;
+        std::size_t suspectedRelays = 0;
         std::uint64_t sent = 0;
         std::uint64_t received = 0;
     };
 
-    explicit fleet_world(fleet_world_options options);
+    explicit simulated_fleet(simulated_fleet_options options);
 
     /// All VMs start within 0.3 s and know each other's records 0.1 s after the last one's start.
     void startAll();
@@ -60,7 +60,7 @@
     void restart(std::size_t vm);
     void freeze(std::size_t vm, bool frozen);
     /// Nothing goes between \p domain and the others.
-    void cut(const domain_id &domain, bool isCut);
+    void partition(const domain_id &domain, bool isPartitioned);
 
     vm_state &at(std::size_t vm)
     {
@@ -79,12 +79,12 @@
         return m_vms.at(vm).node != nullptr;
     }
     /// What all other VMs that are up have in flight at \p target.
-    std::uint32_t othersAt(std::size_t vm, target_key target) const;
+    std::uint32_t inFlightOfOthers(std::size_t vm, target_key target) const;
     std::vector<std::size_t> relays() const;
-    void resetLowest();
+    void resetCounters();
 
 private:
-    struct flying
+    struct in_transit
     {
         std::shared_ptr<const peer_datagram> datagram;
         std::size_t from;
@@ -95,16 +95,16 @@
     void start(std::size_t vm);
     void step();
     void send(std::size_t from, const fleet_outbox &out);
-    void launch(std::size_t from, const endpoint &to, const std::shared_ptr<const peer_datagram> &datagram);
-    void deliver(const flying &one);
+    void transmit(std::size_t from, const endpoint &to, const std::shared_ptr<const peer_datagram> &datagram);
+    void deliver(const in_transit &one);
 
-    fleet_world_options m_options;
+    simulated_fleet_options m_options;
     std::mt19937_64 m_random;
     instant m_now{seconds(100)};
     std::vector<vm_state> m_vms;
     std::map<endpoint, std::size_t> m_byAddress;
-    std::multimap<instant, flying> m_flying;
-    std::set<domain_id> m_cut;
+    std::multimap<instant, in_transit> m_inTransit;
+    std::set<domain_id> m_partitioned;
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/link_pool.h
+++ b/packages/gateway/include/fuchsialoom/gateway/connection_pool.h
@@ -16,19 +16,19 @@
 
 asio::ip::tcp::endpoint tcpEndpointOf(const endpoint &address);
 
-class link_pool
+class connection_pool
 {
 public:
-    explicit link_pool(asio::io_context &loop);
+    explicit connection_pool(asio::io_context &loop);
 
     /// An idle connection to \p target, the one used last, or a new one.
-    std::shared_ptr<http_link> take(const target_id &target, const endpoint &address);
+    std::shared_ptr<http_link> acquire(const target_id &target, const endpoint &address);
 
     /// Keeps \p link for another request, if it can carry one.
-    void give(const target_id &target, const std::shared_ptr<http_link> &link);
+    void release(const target_id &target, const std::shared_ptr<http_link> &link);
 
     /// Closes the idle connections to \p target.
-    void drop(const target_id &target);
+    void closeIdle(const target_id &target);
 
     std::uint64_t made() const
     {
--- a/packages/gateway/include/fuchsialoom/gateway/decision_log.h
+++ b/packages/gateway/include/fuchsialoom/gateway/decision_log.h
@@ -70,7 +70,7 @@
 
     std::uint64_t dropped() const
     {
-        return m_droppedEver;
+        return m_droppedTotal;
     }
 
 private:
@@ -78,11 +78,11 @@
 
     int m_output;
     std::string m_vm;
-    std::string m_waiting;
-    instant m_second{}; ///< start of the second that m_inSecond counts
-    std::uint32_t m_inSecond = 0;
+    std::string m_buffer;
+    instant m_secondStart{}; ///< start of the second that m_linesThisSecond counts
+    std::uint32_t m_linesThisSecond = 0;
     std::uint64_t m_dropped = 0; ///< since the last line that told of it
-    std::uint64_t m_droppedEver = 0;
+    std::uint64_t m_droppedTotal = 0;
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/demand_view.h
+++ b/packages/gateway/include/fuchsialoom/gateway/demand_view.h
@@ -3,7 +3,7 @@
 /// demand within a second or two and not every request. Sans-I/O.
 #pragma once
 
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 
 #include <map>
 #include <vector>
@@ -16,7 +16,7 @@
     double now = 0; ///< requests that run or wait, smoothed over about a second
     double remembered = 0; ///< the most of late, fading: guards copies after a burst
     std::uint32_t waiting = 0; ///< at all VMs, as last told
-    double rising = 0; ///< streams more each second, smoothed; never below 0
+    double growthRate = 0; ///< streams more each second, smoothed; never below 0
 };
 
 class demand_view
@@ -27,11 +27,11 @@
     /// A model's streams in a moment, at the rate at which they rise now.
     static double projected(const model_streams &streams, double ahead)
     {
-        return streams.now + ahead * streams.rising;
+        return streams.now + ahead * streams.growthRate;
     }
 
     /// \p vm's word, in place of its earlier one.
-    void tell(instant now, const vm_id &vm, const std::vector<demand_entry> &demand);
+    void setDemand(instant now, const vm_id &vm, const std::vector<demand_entry> &demand);
 
     /// How long a model's demand is remembered: about what it takes to load it again, and a little more.
     void setMemory(double loadSeconds);
@@ -45,13 +45,13 @@
     }
 
 private:
-    struct teller
+    struct vm_demand
     {
         std::map<model_id, demand_entry> demand;
         instant heardAt{};
     };
 
-    std::map<vm_id, teller> m_tellers;
+    std::map<vm_id, vm_demand> m_vmDemands;
     std::map<model_id, model_streams> m_models;
     instant m_advancedAt{};
     double m_memorySeconds;
--- a/packages/gateway/include/fuchsialoom/gateway/drain_rules.h
+++ b/packages/gateway/include/fuchsialoom/gateway/drain_rules.h
@@ -30,7 +30,7 @@
 {
 public:
     /// A stream made \p events events within \p span.
-    void note(instant now, milliseconds span, std::uint64_t events);
+    void record(instant now, milliseconds span, std::uint64_t events);
 
     /// Milliseconds an event; 0 where none was noted of late.
     double present(instant now) const;
@@ -50,13 +50,13 @@
 class run_meter
 {
 public:
-    void note(instant now, const run_sample &sample);
+    void record(instant now, const run_sample &sample);
 
     /// From the send of a request that allows \p outputTokens to the end of its answer; on the long side. Its events
-    /// come at the pace of those that ended, or at \p presentPace (ms an event) where that is slower. One that names no
+    /// come at the pace of those that ended, or at \p currentPace (ms an event) where that is slower. One that names no
     /// tokens is as long as the longest.
     /// \p otherwise: while no run is known.
-    milliseconds expected(instant now, std::uint32_t outputTokens, double presentPace, milliseconds otherwise) const;
+    milliseconds expected(instant now, std::uint32_t outputTokens, double currentPace, milliseconds fallback) const;
 
 private:
     struct window
@@ -79,24 +79,24 @@
 /// moment has come would be late by as much as whatever sets it, and let in what arrives meanwhile.
 struct stop_plan
 {
-    instant newUntil = farFuture; ///< what arrives from then on is refused
-    instant end = farFuture; ///< what still runs is given up; never before newUntil
+    instant acceptUntil = farFuture; ///< what arrives from then on is refused
+    instant end = farFuture; ///< what still runs is given up; never before acceptUntil
 
     bool isStopping() const
     {
         return end != farFuture;
     }
     /// Also true while no stop is under way.
-    bool takesNew(instant now) const
+    bool acceptsNew(instant now) const
     {
-        return now < newUntil;
+        return now < acceptUntil;
     }
 };
 
-/// For a VM that heard at \p heardAt that it is to stop: takes new requests for \p newFor, and runs on for \p runFor.
-constexpr stop_plan planStop(instant heardAt, milliseconds newFor, milliseconds runFor)
+/// For a VM that heard at \p heardAt that it is to stop: takes new requests for \p acceptFor, and runs on for \p runFor.
+constexpr stop_plan planStop(instant heardAt, milliseconds acceptFor, milliseconds runFor)
 {
-    return {heardAt + std::min(newFor, runFor), heardAt + runFor};
+    return {heardAt + std::min(acceptFor, runFor), heardAt + runFor};
 }
 
 /// Whether a request that is sent at \p now and runs for \p run is over by \p end.
--- a/packages/gateway/include/fuchsialoom/gateway/duty_sight.h
+++ b/packages/gateway/include/fuchsialoom/gateway/duty_forecast.h
@@ -9,13 +9,13 @@
 namespace fuchsialoom
 {
 
-class duty_sight
+class duty_forecast
 {
 public:
     /// A VM that holds the duty was heard; \p wait: it orders only after this.
-    void hear(instant now, milliseconds wait)
+    void noteHolder(instant now, milliseconds wait)
     {
-        m_latest = {now, now + wait};
+        m_lastReport = {now, now + wait};
     }
 
     /// How long until some VM gives orders, as far as can be told; 0 when one does, or nothing is known yet.
@@ -23,13 +23,13 @@
     milliseconds timeToOrders(instant now, std::optional<instant> own) const;
 
 private:
-    struct word
+    struct holder_report
     {
         instant heardAt;
         instant ordersFrom;
     };
 
-    std::optional<word> m_latest; ///< of another VM that holds the duty
+    std::optional<holder_report> m_lastReport; ///< of another VM that holds the duty
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
+++ b/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
@@ -15,7 +15,7 @@
 ///     A successor that hears so waits only for the turn time after that order.
 #pragma once
 
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/support/ids.h"
 #include "fuchsialoom/support/name_table.h"
 #include "fuchsialoom/support/time.h"
@@ -59,10 +59,10 @@
     vm_id vm;
     std::uint64_t incarnation = 0;
     milliseconds lease{1500};
-    milliseconds renewEvery{600};
+    milliseconds renewInterval{600};
     milliseconds turnTime{3000}; ///< between orders of two VMs
     milliseconds holderSilence{1000}; ///< a holder that peers don't hear for so long may be gone, unless set otherwise
-    milliseconds confirm{900}; ///< between two looks at the log: a holder that lives renews meanwhile
+    milliseconds confirmDelay{900}; ///< between two looks at the log: a holder that lives renews meanwhile
 };
 
 /// What the caller of step functions is to do.
@@ -85,7 +85,7 @@
     void onReadFailed(instant now);
     void onAppended(instant now, std::uint64_t offset);
     /// The log ends elsewhere: another record came, or an own append whose answer was lost.
-    void onMoved(instant now);
+    void onAppendConflict(instant now);
     /// \p unknown: it may have been appended, or may be yet.
     void onAppendFailed(instant now, bool unknown);
 
@@ -99,7 +99,7 @@
     }
 
     /// Word of a peer that held it.
-    void onRenounced(instant now, const renounced_fence &word);
+    void onRenounced(instant now, const renounced_fence &announcement);
 
     /// What this VM has to tell of its own last term; nothing while it holds one, or never held any.
     std::optional<renounced_fence> renounced(instant now) const;
@@ -161,30 +161,30 @@
     lease_action append(instant now, lease_record_kind kind);
     bool isMine(const lease_record &record) const;
     void becomeHolder(instant sentAt, std::uint64_t fence);
-    void lapse(instant now);
+    void expireLease(instant now);
     bool isRenounced(const lease_record &record, std::uint64_t offset) const;
-    milliseconds sinceTurnBegan(instant now) const;
+    milliseconds elapsedTurnTime(instant now) const;
 
     const lease_options m_options;
     milliseconds m_holderSilence; ///< a duration, since it changes with this VM's rank while the silence lasts
     state m_state = state::Watching;
-    bool m_busy = false; ///< a read or append is under way
+    bool m_callInFlight = false; ///< a read or append is under way
     bool m_mustRead = true; ///< what the log's newest record is isn't known for certain
     std::uint64_t m_end = 0; ///< of the log, as last known
     lease_record m_pending; ///< being appended
     instant m_sentAt{}; ///< of the append under way
     instant m_nextAt{}; ///< nothing is done before
     instant m_heardAt{}; ///< latest word of a holder
-    std::optional<std::uint64_t> m_seenEnd; ///< of the first look in this silence
-    std::optional<std::uint64_t> m_seenFence; ///< of the holder that the look showed, where one may still order
+    std::optional<std::uint64_t> m_observedEnd; ///< of the first look in this silence
+    std::optional<std::uint64_t> m_observedFence; ///< of the holder that the look showed, where one may still order
     instant m_claimOrderFrom{}; ///< from when a claim made now may order
     instant m_leaseUntil{};
     instant m_orderFrom{};
     std::uint64_t m_fence = 0;
     std::optional<instant> m_lastOrder; ///< of this VM
-    std::optional<std::uint64_t> m_ownRenounced; ///< fence of the own term that ended
-    std::optional<std::uint64_t> m_renounced; ///< fence of another's term that ended by its own word
-    instant m_renouncedTurn{}; ///< from when a successor of that term may order
+    std::optional<std::uint64_t> m_ownRenouncedFence; ///< fence of the own term that ended
+    std::optional<std::uint64_t> m_renouncedFence; ///< fence of another's term that ended by its own word
+    instant m_renouncedOrderFrom{}; ///< from when a successor of that term may order
     bool m_tookOver = false;
 };
 
--- a/packages/gateway/include/fuchsialoom/gateway/event_scanner.h
+++ b/packages/gateway/include/fuchsialoom/gateway/event_scanner.h
@@ -45,7 +45,7 @@
     std::string m_rest;
     std::optional<std::uint64_t> m_lastId;
     std::uint64_t m_count = 0;
-    bool m_continued = false; ///< another target's stream: events that the caller has are dropped
+    bool m_isResumed = false; ///< another target's stream: events that the caller has are dropped
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/include/fuchsialoom/gateway/gateway.h
+++ b/packages/gateway/include/fuchsialoom/gateway/gateway.h
@@ -5,10 +5,10 @@
 #pragma once
 
 #include "fuchsialoom/core/admission_queue.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/gateway/decision_log.h"
 #include "fuchsialoom/gateway/drain_rules.h"
-#include "fuchsialoom/gateway/link_pool.h"
+#include "fuchsialoom/gateway/connection_pool.h"
 #include "fuchsialoom/gateway/request_facts.h"
 #include "fuchsialoom/gateway/retry_rules.h"
 #include "fuchsialoom/gateway/routes.h"
@@ -61,7 +61,7 @@
 {
     vm_id vm;
     domain_id domain;
-    shared_budget::limits retries;
+    shared_retry_budget::limits retries;
     std::uint64_t seed = 1; ///< of the choices between equals
 };
 
@@ -118,32 +118,32 @@
 
     /// This VM stops: what isn't sure to be over by the plan's end is refused as not run, so that its caller goes to
     /// another VM at once.
-    void stopBy(const stop_plan &plan);
+    void setStopPlan(const stop_plan &plan);
 
     /// Answers what is still open and hasn't begun to be answered; streams under way are broken off.
-    void endOpen();
+    void abortOpenRequests();
 
     /// Something changed that may let queued requests go.
-    void pump();
+    void dispatchQueued();
 
     void setLiveVms(std::size_t live);
 
     /// Called when a request waits for an adapter that no target with room holds.
-    void onWantedAdapter(std::function<void(const adapter_want &)> callback)
+    void onAdapterMiss(std::function<void(const adapter_request &)> callback)
     {
-        m_onWantedAdapter = std::move(callback);
+        m_onAdapterMiss = std::move(callback);
     }
 
     /// Asked how long it takes until some VM orders what targets hold; 0 unless set.
-    void setTimeToOrders(std::function<milliseconds()> ask)
+    void setTimeUntilOrders(std::function<milliseconds()> ask)
     {
-        m_timeToOrders = std::move(ask);
+        m_timeUntilOrders = std::move(ask);
     }
 
     /// Called when what this VM has in flight changed, so that peers hear of it before they choose for their next ones.
     void onFlights(std::function<void()> callback)
     {
-        m_onFlights = std::move(callback);
+        m_onInFlightChanged = std::move(callback);
     }
 
     /// Called with a target whose host refused a connection, when that is news here.
@@ -162,39 +162,39 @@
         return m_counters;
     }
     /// Brings the gauges up to date.
-    void measure();
+    void updateGauges();
 
     std::size_t openRequests() const
     {
-        return m_open;
+        return m_openCount;
     }
 
 private:
     friend class exchange;
 
-    void enqueue(const std::shared_ptr<exchange> &one);
-    void noteFlights();
-    void forget(exchange &one);
-    pool_verdict tryDispatch(exchange &one);
+    void enqueue(const std::shared_ptr<exchange> &ex);
+    void notifyInFlightChanged();
+    void onExchangeDone(exchange &ex);
+    pool_verdict tryDispatch(exchange &ex);
     /// What can't meet its objective any more goes behind what can.
     void demoteLate(instant now);
-    void refuseUnreachable(instant now);
+    void refuseUnstartable(instant now);
     /// \p one waits and can't start in time, or its time is over.
-    void refuseLate(instant now, exchange &one);
+    void refuseQueued(instant now, exchange &ex);
     /// What waits and would not be over before this VM ends. What finds a place is compared where it is sent.
     void refuseUnfinishable(instant now);
     /// What \p one would take, by the runs of its route of late; on the long side.
-    milliseconds expectedRun(instant now, const exchange &one) const;
+    milliseconds expectedRun(instant now, const exchange &ex) const;
     /// Whether \p one, sent at \p now, is over before this VM ends.
-    bool endsBeforeStop(instant now, const exchange &one) const;
+    bool endsBeforeStop(instant now, const exchange &ex) const;
     /// Whether \p one is not to be begun any more, since this VM ends before it could.
-    bool isUnfinishable(instant now, const exchange &one) const;
+    bool isUnfinishable(instant now, const exchange &ex) const;
     /// While this VM stops: what \p one would take, and the time left.
-    void addStopFacts(log_line &line, instant now, const exchange &one) const;
+    void addShutdownFields(log_line &line, instant now, const exchange &ex) const;
     /// Requests in \p lanes, whose model or adapter no target holds, when nobody can order it in time.
-    void refuseUnheld(instant now, const std::set<lane_key> &lanes);
+    void refuseNotResident(instant now, const std::set<lane_key> &lanes);
     void armQueueTimer();
-    shared_budget &budgetOf(const service_id &service);
+    shared_retry_budget &retryBudgetFor(const service_id &service);
 
     asio::io_context &m_loop;
     gateway_options m_options;
@@ -204,25 +204,25 @@
     std::optional<gateway_configuration> m_configuration;
     route_table m_routes;
     target_pool m_pool;
-    link_pool m_links;
+    connection_pool m_links;
     admission_queue m_queue;
     std::map<request_id, std::shared_ptr<exchange>> m_queued; ///< by the serial that the queue knows
     std::map<request_id, std::weak_ptr<exchange>> m_openExchanges; ///< by serial; not answered yet
-    std::map<std::string, run_meter> m_runs; ///< by route
-    std::map<model_id, pace_meter> m_paces; ///< of the models that engines serve
-    std::map<service_id, shared_budget> m_budgets;
+    std::map<std::string, run_meter> m_runMeters; ///< by route
+    std::map<model_id, pace_meter> m_paceMeters; ///< of the models that engines serve
+    std::map<service_id, shared_retry_budget> m_budgets;
     std::map<model_id, model_demand> m_demand;
-    std::function<void(const adapter_want &)> m_onWantedAdapter;
-    std::function<void()> m_onFlights;
+    std::function<void(const adapter_request &)> m_onAdapterMiss;
+    std::function<void()> m_onInFlightChanged;
     std::function<void(const target_id &)> m_onUnreachable;
-    std::function<milliseconds()> m_timeToOrders;
+    std::function<milliseconds()> m_timeUntilOrders;
     asio::steady_timer m_queueTimer;
     bool m_queueTimerArmed = false;
-    stop_plan m_stop; ///< far in the future unless this VM stops
-    bool m_pumping = false;
-    bool m_pumpAgain = false;
+    stop_plan m_stopPlan; ///< far in the future unless this VM stops
+    bool m_dispatching = false;
+    bool m_dispatchAgain = false;
     std::size_t m_liveVms = 1;
-    std::size_t m_open = 0;
+    std::size_t m_openCount = 0;
     std::uint64_t m_serial = 0;
     std::mt19937_64 m_random;
     gateway_counters m_counters;
--- a/packages/gateway/include/fuchsialoom/gateway/loss_account.h
+++ b/packages/gateway/include/fuchsialoom/gateway/loss_summary.h
@@ -67,7 +67,7 @@
 std::optional<request_ending> endingOf(const log_record &record);
 
 /// Counts of endings by route, with the reason that the log gives for each.
-class loss_account
+class loss_summary
 {
 public:
     struct cause
--- a/packages/gateway/include/fuchsialoom/gateway/peer_exchange.h
+++ b/packages/gateway/include/fuchsialoom/gateway/peer_transport.h
@@ -13,11 +13,11 @@
 namespace fuchsialoom
 {
 
-class peer_exchange
+class peer_transport
 {
 public:
     /// \throws std::system_error when the address of \p self can't be bound.
-    peer_exchange(asio::io_context &loop, const vm_record &self, std::uint64_t incarnation, fleet_events events, decision_log &log);
+    peer_transport(asio::io_context &loop, const vm_record &self, std::uint64_t incarnation, fleet_events events, decision_log &log);
 
     void start();
 
@@ -29,8 +29,8 @@
     /// \name What this VM has to tell; it goes out within some milliseconds.
     /// @{
     void noteFlights();
-    void raiseWant(const adapter_want &want);
-    void tellNews(const std::vector<residency_news> &news);
+    void raiseWant(const adapter_request &want);
+    void tellNews(const std::vector<residency_change> &news);
     void hasten();
     /// @}
 
--- a/packages/gateway/include/fuchsialoom/gateway/replica_plan.h
+++ b/packages/gateway/include/fuchsialoom/gateway/replica_plan.h
@@ -23,8 +23,8 @@
     double megabytes = 0;
     double loadSeconds = 0; ///< from the weight store
     double streams = 0; ///< that are to have places soon
-    double remembered = 0; ///< the most streams of late, fading
-    double waited = 0; ///< streams that its waiting counts as, while no engine holds it
+    double recentPeakStreams = 0; ///< the most streams of late, fading
+    double waitingStreams = 0; ///< streams that its waiting counts as, while no engine holds it
     double diskSeconds = 0; ///< a load from an engine's own disk; 0: not told
     double memorySeconds = 0; ///< a load from an engine's own memory; 0: not told
 };
@@ -34,9 +34,9 @@
     target_id target;
     double megabytes = 0; ///< for weights
     std::set<model_id> held; ///< resident or being loaded, and not on their way out
-    std::set<model_id> fresh; ///< of these, those that have served for less time than their load took
-    std::set<model_id> atHand; ///< weights in its memory or on its disk: quick to load
-    std::set<model_id> inMemory; ///< of these, those in its memory
+    std::set<model_id> recentlyLoaded; ///< of these, those that have served for less time than their load took
+    std::set<model_id> cachedModels; ///< weights in its memory or on its disk: quick to load
+    std::set<model_id> memoryCachedModels; ///< of these, those in its memory
 };
 
 struct replica_load
@@ -49,9 +49,9 @@
 
 struct replica_plan
 {
-    std::map<target_id, std::set<model_id>> wanted;
+    std::map<target_id, std::set<model_id>> placement;
     std::vector<replica_load> loads; ///< the models with the most streams for each copy first
-    std::set<model_id> yielding; ///< models without a wanted copy: their last one may go for now
+    std::set<model_id> evictable; ///< models without a wanted copy: their last one may go for now
 };
 
 /// \p engines: those that serve. Lists in any order; the result depends on their content alone.
--- a/packages/gateway/include/fuchsialoom/gateway/request_facts.h
+++ b/packages/gateway/include/fuchsialoom/gateway/request_facts.h
@@ -20,11 +20,11 @@
 struct request_facts
 {
     request_id id; ///< empty when the caller sent none
-    std::optional<milliseconds> patience; ///< how long the caller waits, counted from its send
+    std::optional<milliseconds> callerTimeout; ///< how long the caller waits, counted from its send
     model_id model; ///< empty for plain services
     adapter_id adapter; ///< empty when none is used
     std::uint32_t promptTokens = 0;
-    std::uint32_t mostOutputTokens = 0;
+    std::uint32_t maxOutputTokens = 0;
     std::optional<std::uint32_t> outputTokensHint; ///< the caller's estimate
     std::optional<std::uint64_t> resumeAfter; ///< the last event that the caller has
 };
@@ -44,7 +44,7 @@
     request_id answers; ///< the request it names; empty when it names none
     bool notRun = false; ///< the target says that it didn't run the request, and won't
     bool signedByTarget = false;
-    bool otherTarget = false; ///< another process has the address, or what was asked for isn't there
+    bool wrongTarget = false; ///< another process has the address, or what was asked for isn't there
     bool displaced = false; ///< another process has the address, by its own word
 };
 
--- a/packages/gateway/include/fuchsialoom/gateway/retry_rules.h
+++ b/packages/gateway/include/fuchsialoom/gateway/retry_rules.h
@@ -54,18 +54,18 @@
     bool repeatable = false; ///< may run more than once
     /// Some attempt of this request may have run, or may run yet.
     bool mayHaveRun = false;
-    std::uint32_t sentTo = 0; ///< targets that it was sent to
+    std::uint32_t targetsTried = 0; ///< targets that it was sent to
     std::uint32_t attempts = 1; ///< targets that it may be sent to
-    std::uint32_t unsentTries = 0; ///< targets that couldn't be reached
+    std::uint32_t connectFailures = 0; ///< targets that couldn't be reached
 };
 
 /// \p budget: the shared budget allows one more arrival.
-retry_step afterAttempt(attempt_outcome outcome, const attempt_history &history, bool budget);
+retry_step nextStep(attempt_outcome outcome, const attempt_history &history, bool budget);
 
 /// The part of one VM in a limit on repeated arrivals that holds over all VMs together: a share of the
 /// requests of a window, plus a fixed number. Each VM takes its own requests' share, and of the fixed
 /// number the part that the live VMs leave it.
-class shared_budget
+class shared_retry_budget
 {
 public:
     struct limits
@@ -76,18 +76,18 @@
     };
 
     void setLimits(limits allowed);
-    void setVms(std::size_t live);
+    void setLiveVmCount(std::size_t live);
 
     void countRequest(instant now);
     bool allows(instant now);
-    void countRepeat(instant now);
+    void countRetry(instant now);
 
 private:
     struct bucket
     {
         instant from{};
         std::uint32_t requests = 0;
-        std::uint32_t repeats = 0;
+        std::uint32_t retries = 0;
     };
 
     bucket &current(instant now);
--- a/packages/gateway/include/fuchsialoom/gateway/routes.h
+++ b/packages/gateway/include/fuchsialoom/gateway/routes.h
@@ -81,7 +81,7 @@
 };
 
 /// The adapter of that number, from 1 on.
-adapter_id adapterAt(std::uint32_t number);
+adapter_id numberedAdapter(std::uint32_t number);
 
 /// What every engine of a service can hold and do.
 struct engine_traits
--- a/packages/gateway/include/fuchsialoom/gateway/target_pool.h
+++ b/packages/gateway/include/fuchsialoom/gateway/target_pool.h
@@ -4,8 +4,8 @@
 #pragma once
 
 #include "fuchsialoom/core/targets.h"
-#include "fuchsialoom/fleet/flight_ledger.h"
-#include "fuchsialoom/fleet/words.h"
+#include "fuchsialoom/fleet/in_flight_tracker.h"
+#include "fuchsialoom/fleet/messages.h"
 #include "fuchsialoom/gateway/routes.h"
 
 #include <cstdint>
@@ -28,7 +28,7 @@
 
 /// A target as the platform lists it. Each start of its process has an id of its own, so whatever was said of one
 /// life of a target can't be taken for another.
-struct listed_upstream
+struct target_listing
 {
     target_id id;
     service_id service;
@@ -39,24 +39,24 @@
     bool isEngine = false; ///< what it holds is managed
     std::vector<held_model> models;
 
-    friend bool operator==(const listed_upstream &, const listed_upstream &) = default;
+    friend bool operator==(const target_listing &, const target_listing &) = default;
 };
 
 struct pool_target
 {
-    listed_upstream listed; ///< with what is news
+    target_listing listed; ///< with what is news
     std::vector<held_model> listedModels; ///< without
     target_key key; ///< of the listed id
-    target_flights own;
-    target_flights peers; ///< the sum of their latest words
-    double trouble = 0; ///< share of late attempts that failed, decaying; 0 to 1
-    instant troubleAt{}; ///< up to when `trouble` has decayed
+    target_in_flight own;
+    target_in_flight peers; ///< the sum of their latest words
+    double failureShare = 0; ///< share of late attempts that failed, decaying; 0 to 1
+    instant failureShareAt{}; ///< up to when `trouble` has decayed
     instant avoidUntil{}; ///< after a connection that couldn't be made, or silence
     instant displacedUntil{}; ///< another process answered at its address: it is gone, whatever is still listed
     bool displaced = false; ///< `displacedUntil` is ahead, as far as housekeeping has looked
     instant unreachableUntil{}; ///< its host refused a connection, here or at another VM
     bool unreachable = false; ///< `unreachableUntil` is ahead, as far as housekeeping has looked
-    std::uint32_t refusals = 0; ///< times that it became unreachable since it last answered
+    std::uint32_t consecutiveRefusals = 0; ///< times that it became unreachable since it last answered
 
     /// Whether it may get requests and orders.
     bool takesNew() const
@@ -120,20 +120,20 @@
     /// \name What the platform lists.
     /// @{
     /// Adds or changes a target. \return whether anything but lapsed news changed.
-    bool list(instant now, listed_upstream target);
+    bool list(instant now, target_listing target);
     void unlist(const target_id &id);
     /// @}
 
     /// \p news holds against the list's older word for a time.
-    void learn(instant now, const residency_news &news);
+    void addNews(instant now, const residency_change &news);
 
     /// A target said that it doesn't hold this.
     void noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter);
 
     /// \p vm's counts, in place of its earlier ones; they lapse when it stays silent.
-    void setPeerFlights(instant now, const vm_id &vm, const flight_counts &counts);
+    void setPeerFlights(instant now, const vm_id &vm, const in_flight_counts &counts);
     /// Those that changed, zeros among them.
-    void changePeerFlights(instant now, const vm_id &vm, const flight_counts &changed);
+    void changePeerFlights(instant now, const vm_id &vm, const in_flight_counts &changed);
     void forgetPeerFlights(const vm_id &vm);
     void expirePeers(instant now);
     /// News that lapsed gives way to the list's word. \return whether any did.
@@ -162,9 +162,9 @@
     /// @}
 
     /// What this VM has in flight, for a whole digest.
-    flight_counts ownFlights() const;
+    in_flight_counts ownFlights() const;
     /// What changed of it since the last call, zeros among them.
-    flight_counts takeChangedFlights();
+    in_flight_counts takeChangedFlights();
 
     const pool_target *find(const target_id &id) const;
     const std::map<target_id, pool_target> &targets() const
@@ -181,23 +181,23 @@
 private:
     struct held_news
     {
-        residency_news news;
+        residency_change news;
         instant until{};
     };
 
     void applyNews(instant now, pool_target &target);
-    void setHeld(pool_target &target, const residency_news &news);
+    void setHeld(pool_target &target, const residency_change &news);
     double scoreOf(instant now, const pool_target &target, std::uint64_t draw) const;
-    static std::uint32_t placesOf(const pool_target &target);
+    static std::uint32_t slotsOf(const pool_target &target);
     /// Requests at \p target, as far as they can still be there.
     std::uint32_t inFlightAt(instant now, const pool_target &target) const;
 
     const domain_id m_ownDomain;
     std::map<target_id, pool_target> m_targets;
-    instant m_lastArrival{}; ///< when a target was last listed that wasn't known before
+    instant m_lastNewTargetAt{}; ///< when a target was last listed that wasn't known before
     bool m_settled = false;
     std::map<target_key, target_id> m_keys; ///< of the targets listed
-    flight_ledger m_peers;
+    in_flight_tracker m_peers;
     std::map<service_id, microseconds> m_runs; ///< of plain services: mean of the latest runs
     std::set<target_id> m_changedFlights; ///< own, not told yet
     std::map<target_id, std::vector<held_news>> m_news; ///< not yet certain to be in the list; bounded by time
--- a/packages/gateway/include/fuchsialoom/gateway/waiting_rules.h
+++ b/packages/gateway/include/fuchsialoom/gateway/waiting_rules.h
@@ -12,21 +12,21 @@
 namespace fuchsialoom
 {
 
-struct waiting_bounds
+struct request_deadlines
 {
     instant patience; ///< the caller waits no longer
-    instant answerUntil; ///< and the operator wants no answer later than this
-    instant objectiveUntil; ///< sent by then, it can still earn its full credit
-    instant queueUntil; ///< not sent by then, its caller leaves before the first event comes
+    instant answerDeadline; ///< and the operator wants no answer later than this
+    instant objectiveDeadline; ///< sent by then, it can still earn its full credit
+    instant queueDeadline; ///< not sent by then, its caller leaves before the first event comes
 };
 
 /// For a request of \p of that came at \p arrivedAt from a caller who waits \p patience from then on.
-waiting_bounds waitingBoundsOf(const route &of, instant arrivedAt, milliseconds patience);
+request_deadlines computeDeadlines(const route &of, instant arrivedAt, milliseconds patience);
 
 /// Priority of a stream that broke midway and goes on at another target: before all that haven't begun.
-inline constexpr int continuedPriority = -1;
+inline constexpr int resumedStreamPriority = -1;
 
 /// The queue's priority, 0 first: by rank among those on time, then by rank among the late.
-int waitingPriority(int rank, bool late);
+int queuePriority(int rank, bool late);
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/link_pool.cpp
+++ b/packages/gateway/lib/connection_pool.cpp
@@ -1,25 +1,25 @@
 /// \file
 /// Kept connections to targets.
-#include "fuchsialoom/gateway/link_pool.h"
+#include "fuchsialoom/gateway/connection_pool.h"
 
 namespace fuchsialoom
 {
 
 /// Idle connections kept for each target. The least that a target takes from all callers together is 110,
 /// for nine VMs and the requests under way.
-static constexpr std::size_t mostIdle = 10;
+static constexpr std::size_t maxIdlePerTarget = 10;
 
 asio::ip::tcp::endpoint tcpEndpointOf(const endpoint &address)
 {
     return {asio::ip::make_address(address.host), address.port};
 }
 
-link_pool::link_pool(asio::io_context &loop)
+connection_pool::connection_pool(asio::io_context &loop)
     : m_loop(loop)
 {
 }
 
-std::shared_ptr<http_link> link_pool::take(const target_id &target, const endpoint &address)
+std::shared_ptr<http_link> connection_pool::acquire(const target_id &target, const endpoint &address)
 {
     std::vector<std::shared_ptr<http_link>> &idle = m_idle[target];
     while (!idle.empty()) {
@@ -34,17 +34,17 @@
     return std::make_shared<http_link>(m_loop, tcpEndpointOf(address));
 }
 
-void link_pool::give(const target_id &target, const std::shared_ptr<http_link> &link)
+void connection_pool::release(const target_id &target, const std::shared_ptr<http_link> &link)
 {
     std::vector<std::shared_ptr<http_link>> &idle = m_idle[target];
-    if (idle.size() < mostIdle && link->isReusable()) {
+    if (idle.size() < maxIdlePerTarget && link->isReusable()) {
         idle.push_back(link);
     } else {
         link->close();
     }
 }
 
-void link_pool::drop(const target_id &target)
+void connection_pool::closeIdle(const target_id &target)
 {
     const auto found = m_idle.find(target);
     if (found == m_idle.end()) {
@@ -56,7 +56,7 @@
     m_idle.erase(found);
 }
 
-std::size_t link_pool::idle() const
+std::size_t connection_pool::idle() const
 {
     std::size_t count = 0;
     for (const auto &[target, links] : m_idle) {
--- a/packages/gateway/lib/decision_log.cpp
+++ b/packages/gateway/lib/decision_log.cpp
@@ -13,9 +13,9 @@
 
 /// Lines about requests in a second: ten times what a VM's share of the design load writes (58 requests
 /// a second, two lines each), so only floods are cut.
-static constexpr std::uint32_t mostRequestLines = 1200;
+static constexpr std::uint32_t maxRequestLinesPerSecond = 1200;
 /// Bytes that wait for a slow reader.
-static constexpr std::size_t mostWaiting = 262144;
+static constexpr std::size_t maxBufferedBytes = 262144;
 
 /// Values stay one word: what would end it is replaced.
 static void appendWord(std::string &text, std::string_view value)
@@ -62,20 +62,20 @@
 
 void decision_log::append(instant now, const log_line &line)
 {
-    if (m_waiting.size() + line.text().size() > mostWaiting) {
+    if (m_buffer.size() + line.text().size() > maxBufferedBytes) {
         m_dropped += 1;
-        m_droppedEver += 1;
+        m_droppedTotal += 1;
         return;
     }
     const auto wall = std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
     const auto loop = std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count();
-    m_waiting.append("time=").append(std::to_string(wall)).append(" mono=").append(std::to_string(loop));
-    m_waiting.append(" vm=").append(m_vm).append(" ").append(line.text()).append("\n");
+    m_buffer.append("time=").append(std::to_string(wall)).append(" mono=").append(std::to_string(loop));
+    m_buffer.append(" vm=").append(m_vm).append(" ").append(line.text()).append("\n");
 }
 
 void decision_log::write(instant now, const log_line &line)
 {
-    if (m_dropped > 0 && m_waiting.size() < mostWaiting / 2) {
+    if (m_dropped > 0 && m_buffer.size() < maxBufferedBytes / 2) {
         const std::uint64_t dropped = m_dropped;
         m_dropped = 0;
         append(now, log_line("log-dropped").with("lines", dropped));
@@ -85,14 +85,14 @@
 
 void decision_log::writeRequest(instant now, const log_line &line)
 {
-    if (now - m_second >= seconds(1)) {
-        m_second = now;
-        m_inSecond = 0;
+    if (now - m_secondStart >= seconds(1)) {
+        m_secondStart = now;
+        m_linesThisSecond = 0;
     }
-    m_inSecond += 1;
-    if (m_inSecond > mostRequestLines) {
+    m_linesThisSecond += 1;
+    if (m_linesThisSecond > maxRequestLinesPerSecond) {
         m_dropped += 1;
-        m_droppedEver += 1;
+        m_droppedTotal += 1;
         return;
     }
     write(now, line);
@@ -100,12 +100,12 @@
 
 void decision_log::flush()
 {
-    while (!m_waiting.empty()) {
-        const ssize_t written = ::write(m_output, m_waiting.data(), m_waiting.size());
+    while (!m_buffer.empty()) {
+        const ssize_t written = ::write(m_output, m_buffer.data(), m_buffer.size());
         if (written <= 0) {
             return;
         }
-        m_waiting.erase(0, static_cast<std::size_t>(written));
+        m_buffer.erase(0, static_cast<std::size_t>(written));
     }
 }
 
--- a/packages/gateway/lib/duty_sight.cpp
+++ b/packages/gateway/lib/duty_forecast.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// When orders are given next.
-#include "fuchsialoom/gateway/duty_sight.h"
+#include "fuchsialoom/gateway/duty_forecast.h"
 
 #include <algorithm>
 
@@ -8,22 +8,22 @@
 {
 
 /// A holder that wasn't heard for so long may be gone: several of its digests.
-static constexpr milliseconds servedSilence{800};
+static constexpr milliseconds holderTimeout{800};
 /// From a holder's last word to its successor's first order: its silence is noticed after 1 to 1.4 s, then come its
 /// lease of 1.5 s and a turn of 3.5 s.
-static constexpr milliseconds takeover{6200};
+static constexpr milliseconds takeoverTime{6200};
 /// Where that has passed already, the platform's store is away or slow, and nothing is known; look again after this.
-static constexpr milliseconds leastTakeover{1500};
+static constexpr milliseconds minTakeoverTime{1500};
 
-milliseconds duty_sight::timeToOrders(instant now, std::optional<instant> own) const
+milliseconds duty_forecast::timeToOrders(instant now, std::optional<instant> own) const
 {
     instant expected = now;
     if (own) {
         expected = *own;
-    } else if (m_latest && now - m_latest->heardAt < servedSilence) {
-        expected = m_latest->ordersFrom;
-    } else if (m_latest) {
-        expected = std::max(m_latest->heardAt + takeover, now + leastTakeover);
+    } else if (m_lastReport && now - m_lastReport->heardAt < holderTimeout) {
+        expected = m_lastReport->ordersFrom;
+    } else if (m_lastReport) {
+        expected = std::max(m_lastReport->heardAt + takeoverTime, now + minTakeoverTime);
     }
     return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(expected - now));
 }
--- a/packages/gateway/lib/duty_lease.cpp
+++ b/packages/gateway/lib/duty_lease.cpp
@@ -8,7 +8,7 @@
 {
 
 /// After a failed call the next one waits so long.
-static constexpr milliseconds retryPause{200};
+static constexpr milliseconds retryDelay{200};
 
 duty_lease::duty_lease(lease_options options, instant now)
     : m_options(std::move(options))
@@ -24,7 +24,7 @@
 }
 
 /// How long ago this VM ordered last, or had to start waiting for the turn of the VM before it.
-milliseconds duty_lease::sinceTurnBegan(instant now) const
+milliseconds duty_lease::elapsedTurnTime(instant now) const
 {
     if (now < m_orderFrom) {
         const auto toWait = std::chrono::duration_cast<milliseconds>(m_orderFrom - now);
@@ -37,42 +37,42 @@
 {
     m_pending = {kind, m_options.vm, m_options.incarnation, kind == lease_record_kind::Claim ? 0 : m_fence, milliseconds(0)};
     if (kind == lease_record_kind::Release) {
-        m_pending.sinceLastOrder = sinceTurnBegan(now);
+        m_pending.sinceLastOrder = elapsedTurnTime(now);
     }
     m_sentAt = now;
-    m_busy = true;
+    m_callInFlight = true;
     return lease_action::Append;
 }
 
 /// The lease ended unrenewed. The fence is given up with it, so that a successor needn't wait for it.
-void duty_lease::lapse(instant now)
+void duty_lease::expireLease(instant now)
 {
     m_state = state::Watching;
-    m_ownRenounced = m_fence;
+    m_ownRenouncedFence = m_fence;
     m_mustRead = true;
-    m_seenEnd.reset();
+    m_observedEnd.reset();
     m_heardAt = now - m_options.holderSilence;
 }
 
 lease_action duty_lease::tick(instant now)
 {
     if (m_state == state::Holding && now >= m_leaseUntil) {
-        lapse(now);
+        expireLease(now);
     }
-    if (m_busy || now < m_nextAt || m_state == state::Released) {
+    if (m_callInFlight || now < m_nextAt || m_state == state::Released) {
         return lease_action::None;
     }
     if (m_state == state::Watching) {
         if (now - m_heardAt < m_holderSilence) {
-            m_seenEnd.reset();
+            m_observedEnd.reset();
             return lease_action::None;
         }
-        if (m_seenEnd && !m_mustRead) {
+        if (m_observedEnd && !m_mustRead) {
             return append(now, lease_record_kind::Claim);
         }
     }
     if (m_mustRead || m_state == state::Watching) {
-        m_busy = true;
+        m_callInFlight = true;
         return lease_action::Read;
     }
     return append(now, m_state == state::Releasing ? lease_record_kind::Release : lease_record_kind::Renewal);
@@ -84,21 +84,21 @@
     m_fence = fence;
     m_leaseUntil = sentAt + m_options.lease;
     m_orderFrom = m_claimOrderFrom;
-    m_seenEnd.reset();
+    m_observedEnd.reset();
     m_lastOrder.reset();
-    m_ownRenounced.reset();
+    m_ownRenouncedFence.reset();
 }
 
 /// Whether whoever made \p record has told that it orders no more under its fence.
 bool duty_lease::isRenounced(const lease_record &record, std::uint64_t offset) const
 {
     const std::uint64_t fence = record.kind == lease_record_kind::Claim ? offset : record.fence;
-    return m_renounced == fence;
+    return m_renouncedFence == fence;
 }
 
 void duty_lease::onRead(instant now, std::uint64_t end, const std::optional<lease_record> &newest, std::uint64_t newestOffset)
 {
-    m_busy = false;
+    m_callInFlight = false;
     m_mustRead = false;
     m_end = end;
     m_nextAt = now;
@@ -112,17 +112,17 @@
         return;
     }
     m_tookOver = mine ? m_tookOver : newest.has_value();
-    m_seenEnd = end;
-    m_seenFence.reset();
+    m_observedEnd = end;
+    m_observedFence.reset();
     instant orderFrom = now;
     if (newest && !mine && isRenounced(*newest, newestOffset)) {
-        orderFrom = std::max(now, m_renouncedTurn);
+        orderFrom = std::max(now, m_renouncedOrderFrom);
     } else if (newest && newest->kind == lease_record_kind::Release) {
         orderFrom = now + std::max(milliseconds(0), m_options.turnTime - newest->sinceLastOrder);
     } else if (newest && !mine) {
         orderFrom = now + m_options.lease + m_options.turnTime;
-        m_nextAt = now + m_options.confirm;
-        m_seenFence = newest->kind == lease_record_kind::Claim ? newestOffset : newest->fence;
+        m_nextAt = now + m_options.confirmDelay;
+        m_observedFence = newest->kind == lease_record_kind::Claim ? newestOffset : newest->fence;
     }
     // A claim of ours that may still land was made with the wait of an earlier look.
     m_claimOrderFrom = mine ? std::max(m_claimOrderFrom, orderFrom) : orderFrom;
@@ -130,25 +130,25 @@
 
 void duty_lease::onReadFailed(instant now)
 {
-    m_busy = false;
+    m_callInFlight = false;
     m_mustRead = true;
-    m_nextAt = now + retryPause;
+    m_nextAt = now + retryDelay;
 }
 
 void duty_lease::onAppended(instant now, std::uint64_t offset)
 {
-    m_busy = false;
+    m_callInFlight = false;
     m_end = offset + 1;
     switch (m_pending.kind) {
     case lease_record_kind::Claim:
         becomeHolder(m_sentAt, offset);
-        m_nextAt = m_sentAt + m_options.renewEvery;
+        m_nextAt = m_sentAt + m_options.renewInterval;
         return;
     case lease_record_kind::Renewal:
         if (m_state == state::Holding) {
             m_leaseUntil = m_sentAt + m_options.lease;
         }
-        m_nextAt = std::max(now, m_sentAt + m_options.renewEvery);
+        m_nextAt = std::max(now, m_sentAt + m_options.renewInterval);
         return;
     case lease_record_kind::Release:
         m_state = state::Released;
@@ -156,11 +156,11 @@
     }
 }
 
-void duty_lease::onMoved(instant now)
+void duty_lease::onAppendConflict(instant now)
 {
-    m_busy = false;
+    m_callInFlight = false;
     m_mustRead = true;
-    m_seenEnd.reset();
+    m_observedEnd.reset();
     m_nextAt = now;
     if (m_state == state::Watching) {
         // Whoever appended lives, or did just now.
@@ -170,9 +170,9 @@
 
 void duty_lease::onAppendFailed(instant now, bool unknown)
 {
-    m_busy = false;
+    m_callInFlight = false;
     m_mustRead = m_mustRead || unknown;
-    m_nextAt = now + retryPause;
+    m_nextAt = now + retryDelay;
     if (m_state == state::Releasing) {
         m_state = state::Released;
     }
@@ -183,31 +183,31 @@
     m_heardAt = now;
 }
 
-void duty_lease::onRenounced(instant now, const renounced_fence &word)
+void duty_lease::onRenounced(instant now, const renounced_fence &announcement)
 {
-    if (m_renounced == word.fence) {
+    if (m_renouncedFence == announcement.fence) {
         return;
     }
-    m_renounced = word.fence;
-    m_renouncedTurn = now + std::max(milliseconds(0), m_options.turnTime - word.sinceLastOrder);
+    m_renouncedFence = announcement.fence;
+    m_renouncedOrderFrom = now + std::max(milliseconds(0), m_options.turnTime - announcement.sinceLastOrder);
     if (m_state == state::Watching) {
         m_heardAt = std::min(m_heardAt, now - m_options.holderSilence);
-        if (m_seenFence == word.fence) {
+        if (m_observedFence == announcement.fence) {
             // The look showed this holder, and its wait can end sooner.
-            m_claimOrderFrom = std::min(m_claimOrderFrom, std::max(now, m_renouncedTurn));
+            m_claimOrderFrom = std::min(m_claimOrderFrom, std::max(now, m_renouncedOrderFrom));
             m_nextAt = std::min(m_nextAt, now);
         }
-    } else if (m_state == state::Holding && m_seenFence == word.fence) {
-        m_orderFrom = std::min(m_orderFrom, std::max(now, m_renouncedTurn));
+    } else if (m_state == state::Holding && m_observedFence == announcement.fence) {
+        m_orderFrom = std::min(m_orderFrom, std::max(now, m_renouncedOrderFrom));
     }
 }
 
 std::optional<renounced_fence> duty_lease::renounced(instant now) const
 {
-    if (!m_ownRenounced) {
+    if (!m_ownRenouncedFence) {
         return std::nullopt;
     }
-    return renounced_fence{*m_ownRenounced, sinceTurnBegan(now)};
+    return renounced_fence{*m_ownRenouncedFence, elapsedTurnTime(now)};
 }
 
 void duty_lease::release(instant now)
@@ -217,7 +217,7 @@
         return;
     }
     m_state = state::Releasing;
-    m_ownRenounced = m_fence;
+    m_ownRenouncedFence = m_fence;
     m_nextAt = now;
 }
 
--- a/packages/gateway/lib/event_scanner.cpp
+++ b/packages/gateway/lib/event_scanner.cpp
@@ -43,7 +43,7 @@
 bool event_scanner::accept(std::string_view event)
 {
     const std::optional<std::uint64_t> id = idOf(event);
-    if (id && m_continued && m_lastId && *id <= *m_lastId) {
+    if (id && m_isResumed && m_lastId && *id <= *m_lastId) {
         return false;
     }
     if (id) {
@@ -72,7 +72,7 @@
 void event_scanner::restart()
 {
     m_rest.clear();
-    m_continued = true;
+    m_isResumed = true;
 }
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/exchange_attempts.cpp
+++ b/packages/gateway/lib/exchange_attempts.cpp
@@ -10,30 +10,30 @@
 
 /// A connection to a target that isn't made by then is given up: a round trip takes 1 ms between
 /// domains and a target needs 1 ms more, but a lost packet is sent again only after a second.
-static constexpr milliseconds connectTime{250};
+static constexpr milliseconds connectTimeout{250};
 /// A target that refuses has no room, or changes what it holds; for so long others are asked first.
-static constexpr milliseconds avoidRefusing{250};
+static constexpr milliseconds refusalAvoidance{250};
 /// A caller whose request a target refused may come back at once: another target may have room.
 static constexpr milliseconds retryAfterRefusal{50};
 /// A stream tells its pace each time it has made so many events: a tenth of a stream and more.
-static constexpr std::uint64_t paceEvents = 8;
+static constexpr std::uint64_t eventsPerPaceSample = 8;
 static constexpr int statusFailed = 502;
 
-std::string exchange::requestBytes(const pool_target &target) const
+std::string exchange::serializeRequest(const pool_target &target) const
 {
     attempt_facts facts;
-    const instant until = isStream() ? m_bounds.patience : m_bounds.answerUntil;
+    const instant until = isStream() ? m_deadlines.patience : m_deadlines.answerDeadline;
     facts.timeLeft = std::chrono::duration_cast<milliseconds>(until - loopNow());
     facts.target = target.listed.id;
     facts.urgency = m_route.rank;
     facts.isEngine = m_isEngine;
-    facts.resumeAfter = m_scanner.lastId();
+    facts.resumeAfter = m_eventScanner.lastId();
 
     header_list headers = m_request.headers;
     headers.dropConnectionFields();
     headers.erase("Content-Length");
     headers.erase("Expect");
-    m_owner.m_dialect.writeAttempt(headers, facts);
+    m_gateway.m_dialect.writeAttempt(headers, facts);
 
     std::string bytes = m_request.method + ' ' + m_request.target + " HTTP/1.1\r\n";
     appendFields(bytes, headers);
@@ -49,29 +49,29 @@
     assert(!m_attempt);
     const instant now = loopNow();
     if (m_attemptNumber == 0) {
-        m_waited = now - m_arrivedAt;
+        m_queueTime = now - m_arrivedAt;
     }
     log_line line = log_line("sent", m_facts.id)
                         .with("target", target.listed.id)
                         .with("in-flight", target.inFlight())
                         .with("slots", target.listed.slots)
                         .with("waited-ms", std::chrono::duration_cast<milliseconds>(now - m_arrivedAt))
-                        .with("attempt", m_history.sentTo + 1)
+                        .with("attempt", m_history.targetsTried + 1)
                         .with("config", m_configVersion);
-    m_owner.addStopFacts(line, now, *this);
-    m_owner.m_log.writeRequest(now, line);
+    m_gateway.addShutdownFields(line, now, *this);
+    m_gateway.m_log.writeRequest(now, line);
     m_attempt = attempt();
     attempt &made = *m_attempt;
     made.target = target.listed.id;
     made.sentAt = now;
     made.lastByteAt = now;
-    made.link = m_owner.m_links.take(target.listed.id, target.listed.address);
-    m_tried.insert(made.target);
-    made.unreadTokens = m_isEngine ? m_facts.promptTokens : 0;
-    m_owner.m_pool.begin(made.target, made.unreadTokens);
+    made.link = m_gateway.m_links.acquire(target.listed.id, target.listed.address);
+    m_triedTargets.insert(made.target);
+    made.pendingPromptTokens = m_isEngine ? m_facts.promptTokens : 0;
+    m_gateway.m_pool.begin(made.target, made.pendingPromptTokens);
     if (!m_running) {
         m_running = true;
-        model_demand &demand = m_owner.m_demand[m_facts.model];
+        model_demand &demand = m_gateway.m_demand[m_facts.model];
         demand.running += 1;
         if (!m_facts.adapter.empty()) {
             demand.adapters[m_facts.adapter].running += 1;
@@ -79,19 +79,19 @@
     }
     m_attemptNumber += 1;
     if (m_attemptNumber > 1) {
-        m_owner.m_metrics.add(metric::Retries);
+        m_gateway.m_metrics.add(metric::Retries);
     }
     if (m_streamStarted) {
-        m_owner.m_metrics.add(metric::Resumes);
+        m_gateway.m_metrics.add(metric::Resumes);
     }
-    m_scanner.restart();
-    m_paceFrom = instant{};
-    made.link->send(requestBytes(target), m_request.method == "HEAD", now + connectTime, eventsOf(m_attemptNumber));
+    m_eventScanner.restart();
+    m_paceSampleStart = instant{};
+    made.link->send(serializeRequest(target), m_request.method == "HEAD", now + connectTimeout, callbacksForAttempt(m_attemptNumber));
     armTimer();
 }
 
 /// Events of an attempt that was given up meanwhile are dropped.
-link_events exchange::eventsOf(std::uint32_t number)
+link_events exchange::callbacksForAttempt(std::uint32_t number)
 {
     const auto self = shared_from_this();
     const auto current = [self, number] {
@@ -99,7 +99,7 @@
     };
     link_events events;
     events.isMine = [self](const answer_head &head) {
-        const answer_facts facts = self->m_owner.m_dialect.readAnswer(head, self->m_attempt ? self->m_attempt->target : target_id());
+        const answer_facts facts = self->m_gateway.m_dialect.readAnswer(head, self->m_attempt ? self->m_attempt->target : target_id());
         if (facts.answers.empty()) {
             return head.status < 200 || head.status >= 300;
         }
@@ -130,64 +130,64 @@
 
 void exchange::onHead(const answer_head &head)
 {
-    m_attempt->headCame = true;
+    m_attempt->headReceived = true;
     m_attempt->lastByteAt = loopNow();
     m_attempt->head = head;
-    m_attempt->isSigned = m_owner.m_dialect.readAnswer(head, m_attempt->target).signedByTarget;
-    m_attempt->passesEvents = isStream() && head.status == 200 && m_attempt->isSigned;
+    m_attempt->isSigned = m_gateway.m_dialect.readAnswer(head, m_attempt->target).signedByTarget;
+    m_attempt->relaysEvents = isStream() && head.status == 200 && m_attempt->isSigned;
 }
 
 void exchange::onBody(std::string_view bytes)
 {
     const instant now = loopNow();
-    if (!m_attempt->passesEvents) {
+    if (!m_attempt->relaysEvents) {
         m_attempt->lastByteAt = now;
         m_attempt->body.append(bytes);
         return;
     }
-    const std::string events = m_scanner.feed(bytes);
+    const std::string events = m_eventScanner.feed(bytes);
     if (events.empty()) {
         return;
     }
-    notePromptRead();
+    onPromptProcessed();
     if (m_streamStarted) {
         const auto gap = std::chrono::duration_cast<milliseconds>(now - m_attempt->lastByteAt);
-        m_owner.m_metrics.observe(metric::TokenGap, now - m_attempt->lastByteAt);
+        m_gateway.m_metrics.observe(metric::TokenGap, now - m_attempt->lastByteAt);
         m_gapMs = std::max(m_gapMs, static_cast<std::uint64_t>(gap.count()));
     }
     m_attempt->lastByteAt = now;
     relay(events);
-    notePace(now);
+    samplePace(now);
 }
 
-void exchange::notePromptRead()
+void exchange::onPromptProcessed()
 {
-    if (m_attempt->unreadTokens == 0) {
+    if (m_attempt->pendingPromptTokens == 0) {
         return;
     }
-    m_owner.m_pool.read(m_attempt->target, m_attempt->unreadTokens);
-    m_owner.noteFlights();
-    m_attempt->unreadTokens = 0;
-    m_owner.pump();
+    m_gateway.m_pool.read(m_attempt->target, m_attempt->pendingPromptTokens);
+    m_gateway.notifyInFlightChanged();
+    m_attempt->pendingPromptTokens = 0;
+    m_gateway.dispatchQueued();
 }
 
 /// For what later streams of the model are expected to take, long before this one has ended. Engines serve a bounded
 /// number of models; what callers of other services call one may be anything.
-void exchange::notePace(instant now)
+void exchange::samplePace(instant now)
 {
     if (!m_isEngine) {
         return;
     }
-    const std::uint64_t made = m_scanner.count() - m_paceEvents;
-    const bool isFirst = m_paceFrom == instant{};
-    if (!isFirst && made < paceEvents) {
+    const std::uint64_t made = m_eventScanner.count() - m_paceSampleFirstEvent;
+    const bool isFirst = m_paceSampleStart == instant{};
+    if (!isFirst && made < eventsPerPaceSample) {
         return;
     }
     if (!isFirst) {
-        m_owner.m_paces[m_facts.model].note(now, std::chrono::duration_cast<milliseconds>(now - m_paceFrom), made);
+        m_gateway.m_paceMeters[m_facts.model].record(now, std::chrono::duration_cast<milliseconds>(now - m_paceSampleStart), made);
     }
-    m_paceFrom = now;
-    m_paceEvents = m_scanner.count();
+    m_paceSampleStart = now;
+    m_paceSampleFirstEvent = m_eventScanner.count();
 }
 
 /// The head goes with the first event: until then another target can still take the request.
@@ -196,7 +196,7 @@
     if (!m_streamStarted) {
         m_streamStarted = true;
         m_firstEventAt = loopNow();
-        m_owner.m_metrics.observe(metric::FirstToken, m_firstEventAt - m_arrivedAt);
+        m_gateway.m_metrics.observe(metric::FirstToken, m_firstEventAt - m_arrivedAt);
         header_list headers = m_attempt->head.headers;
         headers.dropConnectionFields();
         m_caller->startStream(m_attempt->head.status, std::move(headers));
@@ -206,35 +206,35 @@
 
 void exchange::onComplete()
 {
-    const answer_facts facts = m_owner.m_dialect.readAnswer(m_attempt->head, m_attempt->target);
-    if (facts.displaced && m_owner.m_pool.displace(loopNow(), m_attempt->target)) {
-        m_owner.m_log.write(loopNow(), log_line("target-displaced").with("target", m_attempt->target).with("by", "answer"));
+    const answer_facts facts = m_gateway.m_dialect.readAnswer(m_attempt->head, m_attempt->target);
+    if (facts.displaced && m_gateway.m_pool.displace(loopNow(), m_attempt->target)) {
+        m_gateway.m_log.write(loopNow(), log_line("target-displaced").with("target", m_attempt->target).with("by", "answer"));
     }
     const int status = m_attempt->head.status;
     const bool promises = status == 408 || status == 421 || status == 429 || status == 503;
     const bool good = status >= 200 && status < 300;
-    if (facts.otherTarget) {
-        m_owner.m_pool.noteAbsent(loopNow(), m_attempt->target, m_facts.model, m_facts.adapter);
+    if (facts.wrongTarget) {
+        m_gateway.m_pool.noteAbsent(loopNow(), m_attempt->target, m_facts.model, m_facts.adapter);
     }
-    if (facts.notRun || facts.otherTarget) {
-        follow(attempt_outcome::NotRun);
-    } else if (m_attempt->passesEvents) {
+    if (facts.notRun || facts.wrongTarget) {
+        handleAttemptEnd(attempt_outcome::NotRun);
+    } else if (m_attempt->relaysEvents) {
         finishStream();
     } else if (promises || (good && !facts.signedByTarget)) {
         // Without its own word that it didn't run the request, a target's refusal promises nothing.
-        follow(attempt_outcome::Broken);
+        handleAttemptEnd(attempt_outcome::Broken);
     } else if (status >= 500) {
-        follow(attempt_outcome::Failed);
+        handleAttemptEnd(attempt_outcome::Failed);
     } else {
-        m_owner.m_pool.succeeded(loopNow(), m_attempt->target);
-        passOnWhole();
+        m_gateway.m_pool.succeeded(loopNow(), m_attempt->target);
+        relayWholeAnswer();
     }
 }
 
 void exchange::finishStream()
 {
-    m_owner.m_pool.succeeded(loopNow(), m_attempt->target);
-    const std::string rest = m_scanner.rest();
+    m_gateway.m_pool.succeeded(loopNow(), m_attempt->target);
+    const std::string rest = m_eventScanner.rest();
     if (!m_streamStarted || !rest.empty()) {
         relay(rest);
     }
@@ -242,7 +242,7 @@
     finish("answered", "stream");
 }
 
-void exchange::passOnWhole()
+void exchange::relayWholeAnswer()
 {
     header_list headers = m_attempt->head.headers;
     headers.dropConnectionFields();
@@ -259,68 +259,68 @@
 void exchange::onFailure(link_failure how, bool sent)
 {
     const instant now = loopNow();
-    m_owner.m_log.writeRequest(now,
+    m_gateway.m_log.writeRequest(now,
                                log_line("attempt-broke", m_facts.id)
                                    .with("target", m_attempt->target)
                                    .with("how", how)
-                                   .with("head", m_attempt->headCame ? "yes" : "no")
-                                   .with("events", m_scanner.count())
+                                   .with("head", m_attempt->headReceived ? "yes" : "no")
+                                   .with("events", m_eventScanner.count())
                                    .with("after-ms", std::chrono::duration_cast<milliseconds>(now - m_attempt->sentAt)));
     if (how == link_failure::Refused) {
-        m_owner.noteUnreachable(m_attempt->target);
+        m_gateway.noteUnreachable(m_attempt->target);
     }
     if (!sent) {
-        m_owner.m_pool.avoid(now, m_attempt->target, avoidUnreachable);
-        follow(attempt_outcome::NotSent);
+        m_gateway.m_pool.avoid(now, m_attempt->target, unreachableAvoidance);
+        handleAttemptEnd(attempt_outcome::NotSent);
         return;
     }
-    follow(attempt_outcome::Broken);
+    handleAttemptEnd(attempt_outcome::Broken);
 }
 
-void exchange::follow(attempt_outcome outcome)
+void exchange::handleAttemptEnd(attempt_outcome outcome)
 {
     const instant now = loopNow();
     const target_id target = m_attempt->target;
     if (outcome == attempt_outcome::NotSent) {
-        m_history.unsentTries += 1;
+        m_history.connectFailures += 1;
     } else {
-        m_history.sentTo += 1;
+        m_history.targetsTried += 1;
     }
     if (outcome != attempt_outcome::NotSent && outcome != attempt_outcome::NotRun) {
         m_history.mayHaveRun = true;
-        m_owner.m_pool.failed(now, target);
-        m_owner.m_pool.avoid(now, target, avoidRefusing);
+        m_gateway.m_pool.failed(now, target);
+        m_gateway.m_pool.avoid(now, target, refusalAvoidance);
     }
     if (outcome == attempt_outcome::NotRun) {
-        m_owner.m_pool.avoid(now, target, avoidRefusing);
+        m_gateway.m_pool.avoid(now, target, refusalAvoidance);
     }
-    shared_budget &budget = m_owner.budgetOf(m_service);
-    const retry_step step = afterAttempt(outcome, m_history, budget.allows(now));
-    m_owner.m_log.writeRequest(now,
+    shared_retry_budget &budget = m_gateway.retryBudgetFor(m_service);
+    const retry_step step = nextStep(outcome, m_history, budget.allows(now));
+    m_gateway.m_log.writeRequest(now,
                                log_line("attempt-ended", m_facts.id)
                                    .with("target", target)
                                    .with("outcome", outcome)
                                    .with("status", m_attempt->head.status)
-                                   .with("sent-to", m_history.sentTo)
+                                   .with("sent-to", m_history.targetsTried)
                                    .with("attempts", m_history.attempts)
                                    .with("step", step));
     switch (step) {
     case retry_step::TryElsewhere:
         if (outcome != attempt_outcome::NotSent) {
-            budget.countRepeat(now);
-            m_owner.m_counters.repeats += 1;
+            budget.countRetry(now);
+            m_gateway.m_counters.repeats += 1;
         }
         endAttempt();
-        m_owner.enqueue(shared_from_this());
+        m_gateway.enqueue(shared_from_this());
         return;
     case retry_step::Refuse:
         refuse(refusal::TargetsRefused, retryAfterRefusal);
         return;
     case retry_step::PassOn:
-        passOnWhole();
+        relayWholeAnswer();
         return;
     case retry_step::Fail:
-        answerFailure(statusFailed, nameOf(outcome));
+        failRequest(statusFailed, nameOf(outcome));
         return;
     }
 }
@@ -331,9 +331,9 @@
         return;
     }
     const target_id target = m_attempt->target;
-    m_owner.m_pool.end(target, m_attempt->unreadTokens);
-    m_owner.noteFlights();
-    m_owner.m_links.give(target, m_attempt->link);
+    m_gateway.m_pool.end(target, m_attempt->pendingPromptTokens);
+    m_gateway.notifyInFlightChanged();
+    m_gateway.m_links.release(target, m_attempt->link);
     m_attempt.reset();
 }
 
--- a/packages/gateway/lib/gateway.cpp
+++ b/packages/gateway/lib/gateway.cpp
@@ -11,7 +11,7 @@
 
 /// Queued requests are looked over so often for those that can't start in time. A tenth of the shortest
 /// objective that the users name is 10 ms; an eighth of the usual ones is 37 to 50 ms.
-static constexpr milliseconds queueLook{25};
+static constexpr milliseconds queueCheckInterval{25};
 
 gateway::gateway(asio::io_context &loop, gateway_options options, dialect_calls dialect, decision_log &log, metrics_registry &metrics)
     : m_loop(loop)
@@ -47,7 +47,7 @@
                     .with("services", configuration.services.size()));
     m_routes.assign(configuration.routes);
     m_configuration = std::move(configuration);
-    pump();
+    dispatchQueued();
     return true;
 }
 
@@ -55,21 +55,21 @@
 {
     m_liveVms = live;
     for (auto &[service, budget] : m_budgets) {
-        budget.setVms(live);
+        budget.setLiveVmCount(live);
     }
 }
 
-shared_budget &gateway::budgetOf(const service_id &service)
+shared_retry_budget &gateway::retryBudgetFor(const service_id &service)
 {
     const auto [found, isNew] = m_budgets.try_emplace(service);
     if (isNew) {
         found->second.setLimits(m_options.retries);
-        found->second.setVms(m_liveVms);
+        found->second.setLiveVmCount(m_liveVms);
     }
     return found->second;
 }
 
-void gateway::measure()
+void gateway::updateGauges()
 {
     std::int64_t running = 0;
     for (const auto &[id, target] : m_pool.targets()) {
@@ -81,17 +81,17 @@
 
 void gateway::submit(const std::shared_ptr<caller_link> &caller, received_request request)
 {
-    const auto one = std::make_shared<exchange>(*this, caller, std::move(request));
-    m_openExchanges.emplace(one->serial(), one);
-    one->start();
+    const auto ex = std::make_shared<exchange>(*this, caller, std::move(request));
+    m_openExchanges.emplace(ex->serial(), ex);
+    ex->start();
 }
 
-void gateway::enqueue(const std::shared_ptr<exchange> &one)
+void gateway::enqueue(const std::shared_ptr<exchange> &ex)
 {
-    const request_facts &facts = one->facts();
-    if (!one->m_counted) {
-        one->m_counted = true;
-        budgetOf(one->m_service).countRequest(loopNow());
+    const request_facts &facts = ex->facts();
+    if (!ex->m_countedInDemand) {
+        ex->m_countedInDemand = true;
+        retryBudgetFor(ex->m_service).countRequest(loopNow());
         model_demand &demand = m_demand[facts.model];
         demand.arrivals += 1;
         if (!facts.adapter.empty()) {
@@ -99,32 +99,32 @@
         }
     }
     m_demand[facts.model].waiting += 1;
-    m_queue.push(one->queueEntry());
-    m_queued.emplace(one->serial(), one);
-    pump();
+    m_queue.push(ex->queueEntry());
+    m_queued.emplace(ex->serial(), ex);
+    dispatchQueued();
 }
 
-void gateway::forget(exchange &one)
+void gateway::onExchangeDone(exchange &ex)
 {
-    m_queue.remove(one.serial());
-    if (m_queued.erase(one.serial()) > 0) {
-        m_demand[one.facts().model].waiting -= 1;
+    m_queue.remove(ex.serial());
+    if (m_queued.erase(ex.serial()) > 0) {
+        m_demand[ex.facts().model].waiting -= 1;
     }
-    if (one.m_running) {
-        one.m_running = false;
-        model_demand &demand = m_demand[one.facts().model];
+    if (ex.m_running) {
+        ex.m_running = false;
+        model_demand &demand = m_demand[ex.facts().model];
         demand.running -= 1;
-        if (!one.facts().adapter.empty()) {
-            demand.adapters[one.facts().adapter].running -= 1;
+        if (!ex.facts().adapter.empty()) {
+            demand.adapters[ex.facts().adapter].running -= 1;
         }
     }
-    pump();
+    dispatchQueued();
 }
 
-void gateway::noteFlights()
+void gateway::notifyInFlightChanged()
 {
-    if (m_onFlights) {
-        m_onFlights();
+    if (m_onInFlightChanged) {
+        m_onInFlightChanged();
     }
 }
 
@@ -139,20 +139,20 @@
     }
 }
 
-pool_verdict gateway::tryDispatch(exchange &one)
+pool_verdict gateway::tryDispatch(exchange &ex)
 {
-    const target_query query = one.query();
+    const target_query query = ex.query();
     const target_choice choice = m_pool.choose(loopNow(), query, m_random());
     if (choice.target) {
-        m_queue.depart(loopNow(), one.serial());
-        const auto held = m_queued.extract(one.serial());
-        m_demand[one.facts().model].waiting -= 1;
-        one.dispatch(*choice.target);
-        noteFlights();
+        m_queue.depart(loopNow(), ex.serial());
+        const auto held = m_queued.extract(ex.serial());
+        m_demand[ex.facts().model].waiting -= 1;
+        ex.dispatch(*choice.target);
+        notifyInFlightChanged();
         return choice.verdict;
     }
-    if (choice.verdict == pool_verdict::NotResident && !query.adapter.empty() && m_onWantedAdapter) {
-        m_onWantedAdapter({query.service, query.model, query.adapter});
+    if (choice.verdict == pool_verdict::NotResident && !query.adapter.empty() && m_onAdapterMiss) {
+        m_onAdapterMiss({query.service, query.model, query.adapter});
     }
     return choice.verdict;
 }
@@ -176,165 +176,165 @@
     return entries;
 }
 
-void gateway::pump()
+void gateway::dispatchQueued()
 {
-    if (m_pumping) {
-        m_pumpAgain = true;
+    if (m_dispatching) {
+        m_dispatchAgain = true;
         return;
     }
-    m_pumping = true;
+    m_dispatching = true;
     do {
-        m_pumpAgain = false;
+        m_dispatchAgain = false;
         demoteLate(loopNow());
         std::set<lane_key> blocked;
-        std::set<lane_key> unheld;
+        std::set<lane_key> notResident;
         while (const queued_request *next = m_queue.next(blocked)) {
             const lane_key lane = next->lane;
-            const std::shared_ptr<exchange> one = m_queued.at(next->id);
+            const std::shared_ptr<exchange> ex = m_queued.at(next->id);
             const instant now = loopNow();
             if (next->deadline <= now) {
-                refuseLate(now, *one);
+                refuseQueued(now, *ex);
                 continue;
             }
             // What may have run can't be refused any more, so its caller loses nothing by another try.
-            if (isUnfinishable(now, *one) && !one->m_history.mayHaveRun) {
-                one->endForStop();
+            if (isUnfinishable(now, *ex) && !ex->m_history.mayHaveRun) {
+                ex->abortForShutdown();
                 continue;
             }
-            const pool_verdict verdict = tryDispatch(*one);
+            const pool_verdict verdict = tryDispatch(*ex);
             if (verdict != pool_verdict::Chosen) {
                 blocked.insert(lane);
             }
             if (verdict == pool_verdict::NotResident) {
-                unheld.insert(lane);
+                notResident.insert(lane);
             }
         }
         m_queue.settle(loopNow());
-        refuseUnreachable(loopNow());
-        refuseUnheld(loopNow(), unheld);
+        refuseUnstartable(loopNow());
+        refuseNotResident(loopNow(), notResident);
         refuseUnfinishable(loopNow());
-    } while (m_pumpAgain);
-    m_pumping = false;
+    } while (m_dispatchAgain);
+    m_dispatching = false;
     armQueueTimer();
 }
 
 void gateway::demoteLate(instant now)
 {
-    for (const auto &[serial, one] : m_queued) {
-        if (!one->m_streamStarted && one->turnsLate(now)) {
+    for (const auto &[serial, ex] : m_queued) {
+        if (!ex->m_streamStarted && ex->updateLateness(now)) {
             m_queue.remove(serial);
-            m_queue.push(one->queueEntry());
+            m_queue.push(ex->queueEntry());
         }
     }
 }
 
-void gateway::refuseUnreachable(instant now)
+void gateway::refuseUnstartable(instant now)
 {
     for (const request_id &serial : m_queue.unreachable(now)) {
-        const std::shared_ptr<exchange> one = m_queued.at(serial);
-        if (one->m_streamStarted && now < one->m_bounds.patience) {
+        const std::shared_ptr<exchange> ex = m_queued.at(serial);
+        if (ex->m_streamStarted && now < ex->m_deadlines.patience) {
             // Its caller has the beginning; the rest is worth the wait.
             continue;
         }
-        refuseLate(now, *one);
+        refuseQueued(now, *ex);
     }
 }
 
-void gateway::refuseLate(instant now, exchange &one)
+void gateway::refuseQueued(instant now, exchange &ex)
 {
-    if (one.m_history.mayHaveRun) {
-        one.answerFailure(502, "queue-full");
+    if (ex.m_history.mayHaveRun) {
+        ex.failRequest(502, "queue-full");
         return;
     }
-    const milliseconds retryAfter = m_queue.retryAfter(now, one.queueEntry().lane);
-    one.refuse(now >= one.m_bounds.queueUntil ? refusal::TimedOut : refusal::QueueFull, retryAfter);
+    const milliseconds retryAfter = m_queue.retryAfter(now, ex.queueEntry().lane);
+    ex.refuse(now >= ex.m_deadlines.queueDeadline ? refusal::TimedOut : refusal::QueueFull, retryAfter);
 }
 
-void gateway::refuseUnheld(instant now, const std::set<lane_key> &lanes)
+void gateway::refuseNotResident(instant now, const std::set<lane_key> &lanes)
 {
-    const milliseconds wait = lanes.empty() || !m_timeToOrders ? milliseconds(0) : m_timeToOrders();
+    const milliseconds wait = lanes.empty() || !m_timeUntilOrders ? milliseconds(0) : m_timeUntilOrders();
     if (wait <= milliseconds(0)) {
         return;
     }
     std::vector<std::shared_ptr<exchange>> hopeless;
-    for (const auto &[serial, one] : m_queued) {
-        if (one->isHopeless(now + wait) && lanes.contains(one->queueEntry().lane)) {
-            hopeless.push_back(one);
+    for (const auto &[serial, ex] : m_queued) {
+        if (ex->expiresInQueueBy(now + wait) && lanes.contains(ex->queueEntry().lane)) {
+            hopeless.push_back(ex);
         }
     }
-    for (const std::shared_ptr<exchange> &one : hopeless) {
-        one->refuse(refusal::NotResident, wait);
+    for (const std::shared_ptr<exchange> &ex : hopeless) {
+        ex->refuse(refusal::NotResident, wait);
     }
 }
 
 /// A run of which nothing is known may take so many objectives of its route.
 static constexpr int unknownRunObjectives = 4;
 
-milliseconds gateway::expectedRun(instant now, const exchange &one) const
+milliseconds gateway::expectedRun(instant now, const exchange &ex) const
 {
-    const milliseconds unknown = unknownRunObjectives * one.m_route.objective;
-    const auto known = m_runs.find(one.m_route.name);
-    if (known == m_runs.end()) {
+    const milliseconds unknown = unknownRunObjectives * ex.m_route.objective;
+    const auto known = m_runMeters.find(ex.m_route.name);
+    if (known == m_runMeters.end()) {
         return unknown;
     }
-    const auto pace = m_paces.find(one.facts().model);
-    const double present = pace == m_paces.end() ? 0 : pace->second.present(now);
-    return known->second.expected(now, one.facts().mostOutputTokens, present, unknown);
+    const auto pace = m_paceMeters.find(ex.facts().model);
+    const double present = pace == m_paceMeters.end() ? 0 : pace->second.present(now);
+    return known->second.expected(now, ex.facts().maxOutputTokens, present, unknown);
 }
 
-bool gateway::endsBeforeStop(instant now, const exchange &one) const
+bool gateway::endsBeforeStop(instant now, const exchange &ex) const
 {
-    return !m_stop.isStopping() || endsInTime(now, expectedRun(now, one), m_stop.end);
+    return !m_stopPlan.isStopping() || endsInTime(now, expectedRun(now, ex), m_stopPlan.end);
 }
 
 /// A stream that has begun goes on for as long as this VM is there.
-bool gateway::isUnfinishable(instant now, const exchange &one) const
+bool gateway::isUnfinishable(instant now, const exchange &ex) const
 {
-    return !one.m_streamStarted && !endsBeforeStop(now, one);
+    return !ex.m_streamStarted && !endsBeforeStop(now, ex);
 }
 
 /// One that came too late was refused before its route was looked up: nothing is expected of it.
-void gateway::addStopFacts(log_line &line, instant now, const exchange &one) const
+void gateway::addShutdownFields(log_line &line, instant now, const exchange &ex) const
 {
-    if (!m_stop.isStopping()) {
+    if (!m_stopPlan.isStopping()) {
         return;
     }
-    const auto left = std::chrono::duration_cast<milliseconds>(m_stop.end - now);
-    if (!one.m_route.name.empty()) {
-        line.with("run-ms", std::to_string(expectedRun(now, one).count()));
+    const auto left = std::chrono::duration_cast<milliseconds>(m_stopPlan.end - now);
+    if (!ex.m_route.name.empty()) {
+        line.with("run-ms", std::to_string(expectedRun(now, ex).count()));
     }
     line.with("stop-in-ms", std::to_string(left.count()));
 }
 
 void gateway::refuseUnfinishable(instant now)
 {
-    if (!m_stop.isStopping()) {
+    if (!m_stopPlan.isStopping()) {
         return;
     }
     std::vector<std::shared_ptr<exchange>> unfinishable;
-    for (const auto &[serial, one] : m_queued) {
-        if (isUnfinishable(now, *one)) {
-            unfinishable.push_back(one);
+    for (const auto &[serial, ex] : m_queued) {
+        if (isUnfinishable(now, *ex)) {
+            unfinishable.push_back(ex);
         }
     }
-    for (const std::shared_ptr<exchange> &one : unfinishable) {
-        one->endForStop();
+    for (const std::shared_ptr<exchange> &ex : unfinishable) {
+        ex->abortForShutdown();
     }
 }
 
-void gateway::stopBy(const stop_plan &plan)
+void gateway::setStopPlan(const stop_plan &plan)
 {
-    m_stop = plan;
-    pump();
+    m_stopPlan = plan;
+    dispatchQueued();
 }
 
-void gateway::endOpen()
+void gateway::abortOpenRequests()
 {
     const auto open = m_openExchanges;
     for (const auto &[serial, weak] : open) {
-        const std::shared_ptr<exchange> one = weak.lock();
-        if (one && !one->isDone()) {
-            one->endForStop();
+        const std::shared_ptr<exchange> ex = weak.lock();
+        if (ex && !ex->isDone()) {
+            ex->abortForShutdown();
         }
     }
 }
@@ -345,11 +345,11 @@
         return;
     }
     m_queueTimerArmed = true;
-    m_queueTimer.expires_after(queueLook);
+    m_queueTimer.expires_after(queueCheckInterval);
     m_queueTimer.async_wait([this](const asio::error_code &problem) {
         m_queueTimerArmed = false;
         if (!problem) {
-            pump();
+            dispatchQueued();
         }
     });
 }
--- a/packages/gateway/lib/held_models.h
+++ b/packages/gateway/lib/held_models.h
@@ -2,7 +2,7 @@
 /// Small look-ups in what an engine holds, for the residency keeper's sources.
 #pragma once
 
-#include "fuchsialoom/gateway/residency_keeper.h"
+#include "fuchsialoom/gateway/residency_reconciler.h"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
 {
 
 /// Between two looks at an engine that loads; its report is some 200 ms old.
-inline constexpr milliseconds reportEvery{200};
+inline constexpr milliseconds loadReportInterval{200};
 
 inline held_model *findModel(std::vector<held_model> &models, const model_id &model)
 {
--- a/packages/gateway/lib/loss_account.cpp
+++ b/packages/gateway/lib/loss_summary.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Decision logs read back.
-#include "fuchsialoom/gateway/loss_account.h"
+#include "fuchsialoom/gateway/loss_summary.h"
 
 #include <algorithm>
 #include <charconv>
@@ -44,7 +44,7 @@
     return number;
 }
 
-static request_ending answeredEnding(const log_record &record)
+static request_ending endingOfAnswered(const log_record &record)
 {
     const std::int64_t objective = record.number("objective-ms");
     const bool isStream = !record.value("first-ms").empty();
@@ -63,7 +63,7 @@
     }
     const std::string_view result = record.value("result");
     if (result == "answered") {
-        return answeredEnding(record);
+        return endingOfAnswered(record);
     }
     if (result == "refused") {
         return request_ending::Refused;
@@ -71,7 +71,7 @@
     return result == "abandoned" ? request_ending::Abandoned : request_ending::Failed;
 }
 
-void loss_account::add(const log_record &record)
+void loss_summary::add(const log_record &record)
 {
     const std::optional<request_ending> ending = endingOf(record);
     if (!ending) {
@@ -80,7 +80,7 @@
     m_routes[std::string(record.value("route"))][{*ending, std::string(record.value("reason"))}] += 1;
 }
 
-std::string loss_account::toText() const
+std::string loss_summary::toText() const
 {
     std::string text;
     for (const auto &[route, causes] : m_routes) {
--- a/packages/gateway/lib/peer_exchange.cpp
+++ b/packages/gateway/lib/peer_transport.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Datagrams between VMs.
-#include "fuchsialoom/gateway/peer_exchange.h"
+#include "fuchsialoom/gateway/peer_transport.h"
 
 #include "fuchsialoom/http/http_link.h"
 
@@ -8,7 +8,7 @@
 {
 
 /// Bytes of a datagram that is still sent; larger ones would be cut into many pieces.
-static constexpr std::size_t mostBytes = 32768;
+static constexpr std::size_t maxDatagramBytes = 32768;
 
 static asio::ip::udp::endpoint udpEndpointOf(const endpoint &address)
 {
@@ -16,20 +16,20 @@
 }
 
 /// The fleet's changes become lines of the log, beside what the host makes of them.
-static fleet_events withLog(fleet_events events, decision_log &log, const fleet_node &fleet)
+static fleet_events withChangeLogging(fleet_events events, decision_log &log, const fleet_node &fleet)
 {
-    events.onChange = [told = std::move(events.onChange), &log, &fleet](fleet_change change, const vm_id &vm) {
+    events.onChange = [forwarded = std::move(events.onChange), &log, &fleet](fleet_change change, const vm_id &vm) {
         log.write(
             loopNow(),
             log_line("fleet").with("change", change).with("peer", vm).with("live", fleet.liveVms()).with("members", fleet.memberCount()));
-        if (told) {
-            told(change, vm);
+        if (forwarded) {
+            forwarded(change, vm);
         }
     };
     return events;
 }
 
-peer_exchange::peer_exchange(asio::io_context &loop,
+peer_transport::peer_transport(asio::io_context &loop,
                              const vm_record &self,
                              std::uint64_t incarnation,
                              fleet_events events,
@@ -37,53 +37,53 @@
     : m_socket(loop, udpEndpointOf(self.address))
     , m_timer(loop)
     , m_log(log)
-    , m_fleet(self, incarnation, withLog(std::move(events), log, m_fleet))
+    , m_fleet(self, incarnation, withChangeLogging(std::move(events), log, m_fleet))
 {
 }
 
-void peer_exchange::start()
+void peer_transport::start()
 {
     receive();
     advance();
 }
 
-void peer_exchange::know(const vm_record &record)
+void peer_transport::know(const vm_record &record)
 {
     m_fleet.know(loopNow(), record);
     armTimer();
 }
 
-void peer_exchange::addSeed(const endpoint &address)
+void peer_transport::addSeed(const endpoint &address)
 {
     m_fleet.addSeed(loopNow(), address);
     hasten();
 }
 
-void peer_exchange::noteFlights()
+void peer_transport::noteFlights()
 {
     m_fleet.noteFlights(loopNow());
     armTimer();
 }
 
-void peer_exchange::raiseWant(const adapter_want &want)
+void peer_transport::raiseWant(const adapter_request &want)
 {
     m_fleet.raiseWant(loopNow(), want);
     armTimer();
 }
 
-void peer_exchange::tellNews(const std::vector<residency_news> &news)
+void peer_transport::tellNews(const std::vector<residency_change> &news)
 {
     m_fleet.tellNews(loopNow(), news);
     armTimer();
 }
 
-void peer_exchange::hasten()
+void peer_transport::hasten()
 {
     m_fleet.hasten(loopNow());
     armTimer();
 }
 
-void peer_exchange::advance()
+void peer_transport::advance()
 {
     m_advancing = true;
     if (loopNow() >= m_fleet.nextAt()) {
@@ -94,7 +94,7 @@
     armTimer();
 }
 
-void peer_exchange::armTimer()
+void peer_transport::armTimer()
 {
     const instant next = m_fleet.nextAt();
     if (m_advancing || next >= m_armedFor) {
@@ -109,31 +109,31 @@
     });
 }
 
-void peer_exchange::send(const fleet_outbox &out)
+void peer_transport::send(const fleet_outbox &out)
 {
-    for (const fleet_outbox::digest_out &one : out.digests) {
+    for (const fleet_outbox::outgoing_digest &one : out.digests) {
         const std::string bytes = encodeDigest(one.digest);
         for (const endpoint &to : one.to) {
             sendTo(to, bytes);
         }
     }
-    for (const fleet_outbox::note_out &one : out.notes) {
-        const std::string bytes = encodeNote(one.note);
+    for (const fleet_outbox::outgoing_delta &one : out.deltas) {
+        const std::string bytes = encodeDelta(one.delta);
         for (const endpoint &to : one.to) {
             sendTo(to, bytes);
         }
     }
-    for (const fleet_outbox::relay_out &one : out.relayWords) {
-        const std::string word = encodeRelayWord(one.word);
-        for (const auto &[to, yours] : one.to) {
-            sendTo(to, encodeMemberWord(word, yours));
+    for (const fleet_outbox::outgoing_relay_update &one : out.relayUpdates) {
+        const std::string message = encodeRelayUpdate(one.message);
+        for (const auto &[to, receiverInFlight] : one.to) {
+            sendTo(to, encodeMemberUpdate(message, receiverInFlight));
         }
     }
 }
 
-void peer_exchange::sendTo(const endpoint &to, const std::string &bytes)
+void peer_transport::sendTo(const endpoint &to, const std::string &bytes)
 {
-    if (bytes.size() > mostBytes) {
+    if (bytes.size() > maxDatagramBytes) {
         m_log.write(loopNow(), log_line("datagram-too-large").with("bytes", bytes.size()).with("to", toText(to)));
         return;
     }
@@ -142,7 +142,7 @@
     m_sent += 1;
 }
 
-void peer_exchange::receive()
+void peer_transport::receive()
 {
     m_socket.async_receive_from(asio::buffer(m_incoming), m_from, [this](const asio::error_code &problem, std::size_t size) {
         if (problem == asio::error::operation_aborted) {
@@ -155,7 +155,7 @@
     });
 }
 
-void peer_exchange::onDatagram(std::string_view bytes, const asio::ip::udp::endpoint &from)
+void peer_transport::onDatagram(std::string_view bytes, const asio::ip::udp::endpoint &from)
 {
     m_received += 1;
     const std::optional<peer_datagram> datagram = decodeDatagram(bytes);
--- a/packages/gateway/lib/replica_plan.cpp
+++ b/packages/gateway/lib/replica_plan.cpp
@@ -10,28 +10,28 @@
 
 /// Streams that a model's only copy is worth, beside its own: a quiet model is asked for once or twice a second,
 /// and while it has no place its requests wait for a load.
-static constexpr double onlyCopy = 6.0;
+static constexpr double onlyCopyValue = 6.0;
 /// And for each second that it takes to have it back, from where its weights would lie then. Small enough that a very
 /// busy model gets its copies before quiet ones that a lost engine held are loaded again.
 static constexpr double onlyCopyPerSecond = 4.0;
 /// Streams that a further copy has to take over. A load is priced like the requests of one stream over a
 /// few seconds.
-static constexpr double leastGain = 2.0;
+static constexpr double minGain = 2.0;
 /// A copy that is taken from another model has to gain so many times what the other loses, or the two would
 /// take it from each other in turns as demand moves by a request or two.
-static constexpr double leastRatio = 1.3;
+static constexpr double minExchangeRatio = 1.3;
 /// A copy that has served for less time than its load took counts so many times: its load would have been for nothing,
 /// and the next one's would be as soon as demand moves on.
-static constexpr double freshWeight = 3.0;
+static constexpr double recentLoadFactor = 3.0;
 /// Streams that a resident only copy counts more than one to be loaded, for each second of a load.
 static constexpr double residentBonus = 0.6;
 /// What a place costs for each stream that its engine has already: engines share their slots.
-static constexpr double loadWeight = 0.3;
+static constexpr double engineLoadWeight = 0.3;
 /// A copy counts for what is left of so many seconds once it serves. Demand moves on within some 10 s, but a busy
 /// model needs copies for longer than one move lasts.
 static constexpr double horizonSeconds = 20.0;
 /// Of a load from the store, what one of weights at hand takes where that isn't told.
-static constexpr double atHandShare = 1.0 / 3;
+static constexpr double cachedLoadShare = 1.0 / 3;
 /// An unload that makes room waits for its runs.
 static constexpr double unloadSeconds = 1.5;
 
@@ -45,25 +45,25 @@
         : m_engines(std::move(engines))
         , m_models(std::move(models))
         , m_copies(m_models.size(), 0)
-        , m_grown(m_models.size(), false)
-        , m_shrunk(m_models.size(), false)
+        , m_gainedCopy(m_models.size(), false)
+        , m_lostCopy(m_models.size(), false)
     {
         std::ranges::sort(m_engines, {}, &replica_engine::target);
         std::ranges::sort(m_models, {}, &replica_model::model);
-        readHeld();
+        initEngineStates();
     }
 
     replica_plan run()
     {
-        std::set<std::size_t> stuck; // no engine takes a copy of these in exchange for anything
-        const std::size_t most = m_engines.size() * m_models.size();
-        for (std::size_t step = 0; step < most; ++step) {
-            const std::optional<std::size_t> model = neediest(stuck);
+        std::set<std::size_t> unplaceable; // no engine takes a copy of these in exchange for anything
+        const std::size_t maxSteps = m_engines.size() * m_models.size();
+        for (std::size_t step = 0; step < maxSteps; ++step) {
+            const std::optional<std::size_t> model = highestGainModel(unplaceable);
             if (!model) {
                 break;
             }
             if (!placeCopy(*model)) {
-                stuck.insert(*model);
+                unplaceable.insert(*model);
             }
         }
         return result();
@@ -76,9 +76,9 @@
     struct engine_state
     {
         std::vector<model_index> held;
-        std::vector<model_index> fresh;
-        std::vector<model_index> atHand;
-        std::vector<model_index> inMemory;
+        std::vector<model_index> recentlyLoaded;
+        std::vector<model_index> cachedModels;
+        std::vector<model_index> memoryCachedModels;
         double freeMegabytes = 0;
 
         bool holds(model_index model) const
@@ -95,12 +95,12 @@
         }
     };
 
-    struct exchange_offer
+    struct placement_candidate
     {
         std::size_t engine = 0;
         std::optional<std::size_t> victim; ///< nothing: there is room
         double loss = 0; ///< streams that the victim's model loses
-        double served = 0; ///< share of the horizon in which the copy serves
+        double servingShare = 0; ///< share of the horizon in which the copy serves
         double score = 0; ///< the least is taken
     };
 
@@ -117,11 +117,11 @@
         return indices;
     }
 
-    void readHeld()
+    void initEngineStates()
     {
         for (const replica_engine &engine : m_engines) {
             engine_state state{
-                indicesOf(engine.held), indicesOf(engine.fresh), indicesOf(engine.atHand), indicesOf(engine.inMemory), engine.megabytes};
+                indicesOf(engine.held), indicesOf(engine.recentlyLoaded), indicesOf(engine.cachedModels), indicesOf(engine.memoryCachedModels), engine.megabytes};
             for (const model_index model : state.held) {
                 state.freeMegabytes -= m_models[model].megabytes;
                 m_copies[model] += 1;
@@ -130,27 +130,27 @@
         }
     }
 
-    static double atHandSeconds(double told, const replica_model &model)
+    static double cachedLoadSeconds(double reportedSeconds, const replica_model &model)
     {
-        return told > 0 ? told : atHandShare * model.loadSeconds;
+        return reportedSeconds > 0 ? reportedSeconds : cachedLoadShare * model.loadSeconds;
     }
 
     double secondsToLoad(std::size_t engine, std::size_t model) const
     {
         const engine_state &at = m_states[engine];
         const replica_model &one = m_models[model];
-        if (std::ranges::binary_search(at.inMemory, model)) {
-            return atHandSeconds(one.memorySeconds, one);
+        if (std::ranges::binary_search(at.memoryCachedModels, model)) {
+            return cachedLoadSeconds(one.memorySeconds, one);
         }
-        return std::ranges::binary_search(at.atHand, model) ? atHandSeconds(one.diskSeconds, one) : one.loadSeconds;
+        return std::ranges::binary_search(at.cachedModels, model) ? cachedLoadSeconds(one.diskSeconds, one) : one.loadSeconds;
     }
 
     /// What a model's only copy is worth beside its streams. An engine that drops it keeps the weights in its memory
     /// for a while, so it is back as soon as they take from there.
-    static double onlyCopyOf(const replica_model &model)
+    static double onlyCopyValueOf(const replica_model &model)
     {
         const double reload = model.memorySeconds > 0 ? model.memorySeconds : model.loadSeconds;
-        return onlyCopy + onlyCopyPerSecond * reload;
+        return onlyCopyValue + onlyCopyPerSecond * reload;
     }
 
     /// Streams that the next copy of \p model would take.
@@ -158,7 +158,7 @@
     {
         const replica_model &one = m_models[model];
         if (m_copies[model] == 0) {
-            return onlyCopyOf(one) + one.streams + one.waited;
+            return onlyCopyValueOf(one) + one.streams + one.waitingStreams;
         }
         return one.streams / (m_copies[model] + 1);
     }
@@ -168,27 +168,27 @@
     {
         const replica_model &one = m_models[model];
         if (m_copies[model] == 1) {
-            return onlyCopyOf(one) + one.streams + residentBonus * one.loadSeconds;
+            return onlyCopyValueOf(one) + one.streams + residentBonus * one.loadSeconds;
         }
-        return std::max(one.streams, one.remembered) / m_copies[model];
+        return std::max(one.streams, one.recentPeakStreams) / m_copies[model];
     }
 
-    std::optional<std::size_t> neediest(const std::set<std::size_t> &stuck) const
+    std::optional<std::size_t> highestGainModel(const std::set<std::size_t> &unplaceable) const
     {
         std::optional<std::size_t> best;
         for (std::size_t model = 0; model < m_models.size(); ++model) {
-            if (m_shrunk[model]) {
+            if (m_lostCopy[model]) {
                 continue;
             }
-            const bool worthIt = m_copies[model] == 0 || gainOf(model) >= leastGain;
-            if (worthIt && !stuck.contains(model) && (!best || gainOf(model) > gainOf(*best))) {
+            const bool worthIt = m_copies[model] == 0 || gainOf(model) >= minGain;
+            if (worthIt && !unplaceable.contains(model) && (!best || gainOf(model) > gainOf(*best))) {
                 best = model;
             }
         }
         return best;
     }
 
-    double loadOf(const engine_state &state) const
+    double assignedStreams(const engine_state &state) const
     {
         double streams = 0;
         for (const model_index model : state.held) {
@@ -200,55 +200,55 @@
     /// What is lost with the copy at one engine: with a fresh one, the load that it took besides.
     double lossAt(const engine_state &state, model_index model) const
     {
-        return lossOf(model) * (std::ranges::binary_search(state.fresh, model) ? freshWeight : 1.0);
+        return lossOf(model) * (std::ranges::binary_search(state.recentlyLoaded, model) ? recentLoadFactor : 1.0);
     }
 
     /// The cheapest way to put \p model at an engine.
-    std::optional<exchange_offer> offerAt(std::size_t engine, std::size_t model) const
+    std::optional<placement_candidate> candidateAt(std::size_t engine, std::size_t model) const
     {
         const engine_state &state = m_states[engine];
         if (state.holds(model)) {
             return std::nullopt;
         }
-        exchange_offer offer;
-        offer.engine = engine;
-        double load = loadOf(state);
+        placement_candidate candidate;
+        candidate.engine = engine;
+        double load = assignedStreams(state);
         if (state.freeMegabytes < m_models[model].megabytes) {
             for (const model_index other : state.held) {
                 const bool fits = state.freeMegabytes + m_models[other].megabytes >= m_models[model].megabytes;
-                if (!m_grown[other] && fits && (!offer.victim || lossAt(state, other) < offer.loss)) {
-                    offer.victim = other;
-                    offer.loss = lossAt(state, other);
+                if (!m_gainedCopy[other] && fits && (!candidate.victim || lossAt(state, other) < candidate.loss)) {
+                    candidate.victim = other;
+                    candidate.loss = lossAt(state, other);
                 }
             }
-            if (!offer.victim) {
+            if (!candidate.victim) {
                 return std::nullopt;
             }
-            load -= m_models[*offer.victim].streams / m_copies[*offer.victim];
+            load -= m_models[*candidate.victim].streams / m_copies[*candidate.victim];
         }
-        const double waits = secondsToLoad(engine, model) + (offer.victim ? unloadSeconds : 0);
-        offer.served = std::max(0.0, 1 - waits / horizonSeconds);
-        offer.score = offer.loss + loadWeight * load + gainOf(model) * (1 - offer.served);
-        return offer;
+        const double delaySeconds = secondsToLoad(engine, model) + (candidate.victim ? unloadSeconds : 0);
+        candidate.servingShare = std::max(0.0, 1 - delaySeconds / horizonSeconds);
+        candidate.score = candidate.loss + engineLoadWeight * load + gainOf(model) * (1 - candidate.servingShare);
+        return candidate;
     }
 
     bool placeCopy(std::size_t model)
     {
         const double gain = gainOf(model);
-        std::optional<exchange_offer> best;
+        std::optional<placement_candidate> best;
         for (std::size_t engine = 0; engine < m_engines.size(); ++engine) {
-            const std::optional<exchange_offer> offer = offerAt(engine, model);
-            if (!offer || (offer->victim && gain * offer->served < leastRatio * offer->loss && !isTurnOf(model, *offer->victim))) {
+            const std::optional<placement_candidate> candidate = candidateAt(engine, model);
+            if (!candidate || (candidate->victim && gain * candidate->servingShare < minExchangeRatio * candidate->loss && !outweighsVictim(model, *candidate->victim))) {
                 continue;
             }
-            if (!best || offer->score < best->score) {
-                best = offer;
+            if (!best || candidate->score < best->score) {
+                best = candidate;
             }
         }
         if (!best) {
             return false;
         }
-        if (best->victim && m_copies[*best->victim] == 1 && moveAside(*best->victim)) {
+        if (best->victim && m_copies[*best->victim] == 1 && relocateOnlyCopy(*best->victim)) {
             return false;
         }
         engine_state &state = m_states[best->engine];
@@ -256,7 +256,7 @@
             state.drop(*best->victim);
             state.freeMegabytes += m_models[*best->victim].megabytes;
             m_copies[*best->victim] -= 1;
-            m_shrunk[*best->victim] = true;
+            m_lostCopy[*best->victim] = true;
         }
         addCopy(best->engine, model);
         return true;
@@ -266,14 +266,14 @@
     {
         m_states[engine].add(model);
         m_states[engine].freeMegabytes -= m_models[model].megabytes;
-        m_grown[model] = true;
+        m_gainedCopy[model] = true;
         m_copies[model] += 1;
         m_loads.push_back({m_engines[engine].target, m_models[model].model});
     }
 
     /// No only copy goes while there is room for it elsewhere: it is loaded there first, and a later plan takes
     /// the place that it leaves. \return whether there is room.
-    bool moveAside(std::size_t model)
+    bool relocateOnlyCopy(std::size_t model)
     {
         for (std::size_t engine = 0; engine < m_engines.size(); ++engine) {
             if (!m_states[engine].holds(model) && m_states[engine].freeMegabytes >= m_models[model].megabytes) {
@@ -285,7 +285,7 @@
     }
 
     /// Between two models with one place, the one whose turn it is has more streams; no ratio is asked.
-    bool isTurnOf(std::size_t model, std::size_t victim) const
+    bool outweighsVictim(std::size_t model, std::size_t victim) const
     {
         return m_copies[model] == 0 && gainOf(model) > lossOf(victim);
     }
@@ -294,14 +294,14 @@
     {
         replica_plan plan;
         for (std::size_t engine = 0; engine < m_engines.size(); ++engine) {
-            std::set<model_id> &wanted = plan.wanted[m_engines[engine].target];
+            std::set<model_id> &placement = plan.placement[m_engines[engine].target];
             for (const model_index model : m_states[engine].held) {
-                wanted.insert(m_models[model].model);
+                placement.insert(m_models[model].model);
             }
         }
         for (std::size_t model = 0; model < m_models.size(); ++model) {
             if (m_copies[model] == 0) {
-                plan.yielding.insert(m_models[model].model);
+                plan.evictable.insert(m_models[model].model);
             }
         }
         plan.loads = std::move(m_loads);
@@ -313,8 +313,8 @@
     std::vector<double> m_copies; ///< wanted so far, by model
     /// By model: it gets a copy by this plan, or gives one away, but never both. Else a copy that is there would
     /// go for one that is still to be loaded.
-    std::vector<bool> m_grown;
-    std::vector<bool> m_shrunk;
+    std::vector<bool> m_gainedCopy;
+    std::vector<bool> m_lostCopy;
     std::vector<engine_state> m_states; ///< by engine
     std::vector<replica_load> m_loads;
 };
--- a/packages/gateway/lib/residency_duty.cpp
+++ b/packages/gateway/lib/residency_controller.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// The duty of ordering what targets hold.
-#include "fuchsialoom/gateway/residency_duty.h"
+#include "fuchsialoom/gateway/residency_controller.h"
 
 #include <algorithm>
 
@@ -8,54 +8,54 @@
 {
 
 /// Between two plans. Demand is smoothed over 0.6 s, and a load takes 0.4 s or more.
-static constexpr milliseconds planEvery{400};
+static constexpr milliseconds planInterval{400};
 /// Streams a second that a model without a place gains while it is asked for, until it is worth more than the only
 /// copy of some quiet model, which counts 0.6 more for each second of a load (`replica_plan.cpp`): at once where
 /// loads take 1.2 s, after some seconds where they take 5.8 s.
-static constexpr double waitingWeight = 0.3;
+static constexpr double waitingStreamsPerSecond = 0.3;
 /// Below this nobody asks for a model.
-static constexpr double leastAsked = 0.05;
-residency_duty::residency_duty(lease_options options, load_limits limits, gateway &requests, decision_log &log, duty_calls calls)
+static constexpr double minDemandStreams = 0.05;
+residency_controller::residency_controller(lease_options options, store_load_limits limits, gateway &requests, decision_log &log, residency_controller_callbacks callbacks)
     : m_gateway(requests)
     , m_log(log)
-    , m_calls(std::move(calls))
-    , m_lease(std::move(options), m_calls.suspendedClock())
-    , m_keeper(limits, log)
+    , m_callbacks(std::move(callbacks))
+    , m_lease(std::move(options), m_callbacks.boottimeClock())
+    , m_reconciler(limits, log)
 {
 }
 
 /// A holder counts as gone after several of its words were lost.
-static constexpr milliseconds holderSilence{1000};
+static constexpr milliseconds holderTimeout{1000};
 /// Between two candidates: one that lives has claimed the duty and told so before the next one looks.
-static constexpr milliseconds perRank{150};
-static constexpr std::size_t mostRanks = 10;
+static constexpr milliseconds timeoutPerRank{150};
+static constexpr std::size_t maxRank = 10;
 static constexpr milliseconds never = std::chrono::hours(24 * 365);
 
-void residency_duty::setRank(std::optional<std::size_t> rank)
+void residency_controller::setSuccessionRank(std::optional<std::size_t> rank)
 {
-    m_lease.setHolderSilence(rank ? holderSilence + perRank * static_cast<int>(std::min(*rank, mostRanks)) : never);
+    m_lease.setHolderSilence(rank ? holderTimeout + timeoutPerRank * static_cast<int>(std::min(*rank, maxRank)) : never);
 }
 
-std::optional<std::uint64_t> residency_duty::fence() const
+std::optional<std::uint64_t> residency_controller::fence() const
 {
     return m_lease.isHolder(clock()) ? std::optional(m_lease.fence()) : std::nullopt;
 }
 
-void residency_duty::pursueLease()
+void residency_controller::advanceLease()
 {
     switch (m_lease.tick(clock())) {
     case lease_action::None:
         break;
     case lease_action::Read:
-        m_calls.readLease();
+        m_callbacks.readLease();
         break;
     case lease_action::Append:
-        m_calls.appendLease(m_lease.nextRecord(), m_lease.end());
+        m_callbacks.appendLease(m_lease.nextRecord(), m_lease.end());
         break;
     }
 }
 
-void residency_duty::noteHolding()
+void residency_controller::updateLeaseState()
 {
     const instant now = clock();
     const bool holder = m_lease.isHolder(now);
@@ -72,16 +72,16 @@
                     .with("orders-in-ms", mayOrder ? milliseconds(0) : wait));
     if (mayOrder && !m_mayOrder && m_lease.tookOver()) {
         // Others may have ordered since this VM last knew what engines hold.
-        m_keeper.reset(loopNow());
+        m_reconciler.reset(loopNow());
     }
     m_wasHolder = holder;
     m_mayOrder = mayOrder;
 }
 
-void residency_duty::tick()
+void residency_controller::tick()
 {
-    pursueLease();
-    noteHolding();
+    advanceLease();
+    updateLeaseState();
     if (!m_mayOrder || !m_gateway.isConfigured()) {
         return;
     }
@@ -89,7 +89,7 @@
     double loadSeconds = 0;
     for (const auto &[service, traits] : m_gateway.configuration().services) {
         if (traits.engine) {
-            m_keeper.setTraits(service, *traits.engine);
+            m_reconciler.setTraits(service, *traits.engine);
             for (const served_model &model : traits.engine->models) {
                 loadSeconds = std::max(loadSeconds, model.loadSeconds);
             }
@@ -97,8 +97,8 @@
     }
     m_demand.setMemory(loadSeconds);
     m_demand.advance(now);
-    if (now >= m_planAt && m_gateway.pool().isSettled(now)) {
-        m_planAt = now + planEvery;
+    if (now >= m_nextPlanAt && m_gateway.pool().isSettled(now)) {
+        m_nextPlanAt = now + planInterval;
         plan(now);
     }
     step();
@@ -107,13 +107,13 @@
 /// The models most in demand, each as name:streams/copies, for the log.
 static std::string describeDemand(const demand_view &demand, const target_pool &pool)
 {
-    static constexpr std::size_t mostNamed = 6;
+    static constexpr std::size_t maxListed = 6;
     std::vector<std::pair<double, model_id>> models;
     for (const auto &[model, streams] : demand.models()) {
         models.emplace_back(-streams.now, model);
     }
     std::sort(models.begin(), models.end());
-    models.resize(std::min(models.size(), mostNamed));
+    models.resize(std::min(models.size(), maxListed));
     std::string text;
     for (const auto &[streams, model] : models) {
         const auto copies = std::count_if(pool.targets().begin(), pool.targets().end(), [&model = model](const auto &target) {
@@ -135,7 +135,7 @@
 }
 
 /// A model that is asked for and has no place gains weight with time, so that it gets its turn.
-void residency_duty::noteUnserved(instant now)
+void residency_controller::updateUnserved(instant now)
 {
     const double passed = m_unservedAt == instant{} ? 0 : std::chrono::duration<double>(now - m_unservedAt).count();
     m_unservedAt = now;
@@ -148,150 +148,150 @@
     for (const auto &[model, streams] : m_demand.models()) {
         if (held.contains(model)) {
             m_unserved.erase(model);
-        } else if (streams.now > leastAsked) {
-            m_unserved[model] += passed * waitingWeight;
+        } else if (streams.now > minDemandStreams) {
+            m_unserved[model] += passed * waitingStreamsPerSecond;
         }
     }
 }
 
-void residency_duty::plan(instant now)
+void residency_controller::plan(instant now)
 {
-    noteUnserved(now);
+    updateUnserved(now);
     for (const auto &[service, traits] : m_gateway.configuration().services) {
         if (!traits.engine) {
             continue;
         }
-        residency_plan plan = planResidency(now, service, *traits.engine, m_gateway.pool(), m_keeper, m_demand, m_unserved);
+        residency_plan plan = planServiceResidency(now, service, *traits.engine, m_gateway.pool(), m_reconciler, m_demand, m_unserved);
         if (!plan.wanted.loads.empty()) {
             m_log.write(now,
                         log_line("plan")
                             .with("service", service)
                             .with("demand", describeDemand(m_demand, m_gateway.pool()))
-                            .with("yielding", plan.yielding.size())
+                            .with("yielding", plan.evictable.size())
                             .with("loads", describeLoads(plan.wanted)));
         }
-        m_keeper.setPlan(service, std::move(plan));
+        m_reconciler.setPlan(service, std::move(plan));
     }
 }
 
-void residency_duty::step()
+void residency_controller::step()
 {
-    noteHolding();
+    updateLeaseState();
     if (!m_mayOrder) {
         return;
     }
-    const residency_steps steps = m_keeper.step(loopNow(), m_gateway.pool());
-    if (!steps.news.empty()) {
-        m_calls.tellNews(steps.news);
+    const residency_actions actions = m_reconciler.step(loopNow(), m_gateway.pool());
+    if (!actions.news.empty()) {
+        m_callbacks.tellNews(actions.news);
     }
-    for (const target_id &target : steps.reports) {
-        m_calls.askReport(target);
+    for (const target_id &target : actions.reports) {
+        m_callbacks.requestReport(target);
     }
-    for (const residency_order &order : steps.orders) {
+    for (const residency_order &order : actions.orders) {
         const instant now = clock();
         if (!m_lease.mayOrder(now)) {
-            m_keeper.onOrdered(loopNow(), order, order_result::Unknown);
+            m_reconciler.onOrdered(loopNow(), order, order_result::Unknown);
             continue;
         }
         m_lease.noteOrder(now);
-        m_calls.sendOrder(order, m_lease.fence());
+        m_callbacks.sendOrder(order, m_lease.fence());
     }
 }
 
-bool residency_duty::release()
+bool residency_controller::release()
 {
     m_lease.release(clock());
-    pursueLease();
-    noteHolding();
+    advanceLease();
+    updateLeaseState();
     return !m_lease.isReleased();
 }
 
-void residency_duty::onDemand(const vm_id &vm, const std::vector<demand_entry> &demand)
+void residency_controller::onDemand(const vm_id &vm, const std::vector<demand_entry> &demand)
 {
     const instant now = loopNow();
-    m_demand.tell(now, vm, demand);
+    m_demand.setDemand(now, vm, demand);
     for (const demand_entry &entry : demand) {
         if (!entry.adapter.empty()) {
-            m_keeper.used(now, entry.model, entry.adapter, entry.running);
+            m_reconciler.recordAdapterUse(now, entry.model, entry.adapter, entry.running);
         }
     }
 }
 
-void residency_duty::onWant(const adapter_want &want)
+void residency_controller::onWant(const adapter_request &want)
 {
     if (m_mayOrder) {
-        m_keeper.want(loopNow(), want);
+        m_reconciler.want(loopNow(), want);
         step();
     }
 }
 
-void residency_duty::onHolderHeard(milliseconds wait)
+void residency_controller::onHolderHeard(milliseconds wait)
 {
-    m_sight.hear(loopNow(), wait);
+    m_sight.noteHolder(loopNow(), wait);
     m_lease.onHolderHeard(clock());
 }
 
-void residency_duty::onRenounced(const renounced_fence &word)
+void residency_controller::onRenounced(const renounced_fence &word)
 {
     m_lease.onRenounced(clock(), word);
-    pursueLease();
+    advanceLease();
 }
 
-milliseconds residency_duty::timeToOrders() const
+milliseconds residency_controller::timeToOrders() const
 {
     const instant now = loopNow();
     const auto toOwn = std::chrono::duration_cast<microseconds>(m_lease.orderFrom() - clock());
     return m_sight.timeToOrders(now, fence() ? std::optional(now + toOwn) : std::nullopt);
 }
 
-void residency_duty::onLeaseRead(std::uint64_t end, const std::optional<lease_record> &newest, std::uint64_t offset)
+void residency_controller::onLeaseRead(std::uint64_t end, const std::optional<lease_record> &newest, std::uint64_t offset)
 {
     m_lease.onRead(clock(), end, newest, offset);
-    pursueLease();
+    advanceLease();
 }
 
-void residency_duty::onLeaseReadFailed()
+void residency_controller::onLeaseReadFailed()
 {
     m_lease.onReadFailed(clock());
 }
 
-void residency_duty::onLeaseAppended(std::uint64_t offset)
+void residency_controller::onLeaseAppended(std::uint64_t offset)
 {
     m_lease.onAppended(clock(), offset);
-    noteHolding();
+    updateLeaseState();
 }
 
-void residency_duty::onLeaseMoved()
+void residency_controller::onLeaseMoved()
 {
-    m_lease.onMoved(clock());
+    m_lease.onAppendConflict(clock());
     m_log.write(loopNow(), log_line("duty-log-moved").with("fence", m_lease.fence()));
-    pursueLease();
+    advanceLease();
 }
 
-void residency_duty::onLeaseAppendFailed(bool unknown)
+void residency_controller::onLeaseAppendFailed(bool unknown)
 {
     m_lease.onAppendFailed(clock(), unknown);
 }
 
-void residency_duty::onOrdered(const residency_order &order, order_result result)
+void residency_controller::onOrdered(const residency_order &order, order_result result)
 {
     if (result == order_result::Unknown) {
         // Until it was given up, its bytes may have been on their way.
         m_lease.noteOrder(clock());
     }
-    m_keeper.onOrdered(loopNow(), order, result);
+    m_reconciler.onOrdered(loopNow(), order, result);
     step();
 }
 
-void residency_duty::onReport(const target_id &target, const engine_report &report)
+void residency_controller::onReport(const target_id &target, const engine_report &report)
 {
-    m_keeper.onReport(loopNow(), target, report);
+    m_reconciler.onReport(loopNow(), target, report);
     step();
 }
 
-void residency_duty::onReportFailed(const target_id &target)
+void residency_controller::onReportFailed(const target_id &target)
 {
-    m_keeper.onReportFailed(loopNow(), target);
+    m_reconciler.onReportFailed(loopNow(), target);
 }
 
 } // namespace fuchsialoom
