--- a/packages/gateway/lib/residency_plan.cpp
+++ b/packages/gateway/lib/residency_plan.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// From demand, and from what engines hold, to the placement wanted.
-#include "fuchsialoom/gateway/residency_duty.h"
+#include "fuchsialoom/gateway/residency_controller.h"
 
 #include "fuchsialoom/gateway/replica_plan.h"
 
@@ -10,18 +10,18 @@
 {
 
 /// Weights have one version at a time here: a load fetches the newest.
-static const version_id onlyVersion{"newest"};
+static const version_id newestVersion{"newest"};
 static constexpr double bytesPerMegabyte = 1e6;
 /// Streams that a model's engines are to have for each that runs or waits: arrivals come in clumps of three.
 static constexpr double headroom = 1.35;
 /// Seconds that a plan looks ahead on a rise, beside a load's time: the unload that makes room waits for its runs, 1.5
 /// to 3 s, its order and the news of it take half a one.
-static constexpr double lookAhead = 2.0;
+static constexpr double demandLookAheadSeconds = 2.0;
 /// Of a load from the weight store, the part that is looked ahead as well.
-static constexpr double lookAheadOfLoad = 0.8;
+static constexpr double lookAheadLoadFraction = 0.8;
 
 /// Streams from which on a model's adapters are fetched ahead: below, one is asked for every few seconds.
-static constexpr double busyStreams = 3.0;
+static constexpr double prefetchMinStreams = 3.0;
 
 /// Adapters move too often for a plan; room for all that an engine may hold is kept beside its weights.
 static double megabytesForWeights(const engine_traits &traits)
@@ -33,7 +33,7 @@
     return traits.megabytes - largest * traits.adapterSlots;
 }
 
-static replica_model modelOf(const served_model &model, const demand_view &demand, const std::map<model_id, double> &unserved)
+static replica_model replicaModelOf(const served_model &model, const demand_view &demand, const std::map<model_id, double> &unserved)
 {
     replica_model made;
     made.model = model.model;
@@ -43,37 +43,37 @@
     made.memorySeconds = model.memoryLoadSeconds;
     const auto streams = demand.models().find(model.model);
     if (streams != demand.models().end()) {
-        made.streams = headroom * demand_view::projected(streams->second, lookAhead + lookAheadOfLoad * model.loadSeconds);
+        made.streams = headroom * demand_view::projected(streams->second, demandLookAheadSeconds + lookAheadLoadFraction * model.loadSeconds);
         made.remembered = headroom * streams->second.remembered;
     }
     const auto waits = unserved.find(model.model);
-    made.waited = waits == unserved.end() ? 0 : waits->second;
+    made.unservedEntry = waits == unserved.end() ? 0 : waits->second;
     return made;
 }
 
-static replica_engine engineOf(instant now, const pool_target &target, const engine_traits &traits, const residency_keeper &keeper)
+static replica_engine replicaEngineOf(instant now, const pool_target &target, const engine_traits &traits, const residency_reconciler &reconciler)
 {
     replica_engine made;
     made.target = target.listed.id;
     made.megabytes = megabytesForWeights(traits);
     // An engine whose report is awaited holds what it is listed with: without it, its models would seem to
     // be lost and be loaded elsewhere.
-    const std::vector<held_model> *held = keeper.heldBy(target.listed.id);
-    const std::optional<model_id> going = keeper.goingFrom(target.listed.id);
+    const std::vector<held_model> *held = reconciler.heldBy(target.listed.id);
+    const std::optional<model_id> unloading = reconciler.unloadingFrom(target.listed.id);
     for (const held_model &one : held ? *held : target.listed.models) {
-        if (one.model != going) {
+        if (one.model != unloading) {
             made.held.insert(one.model);
         }
     }
-    made.fresh = keeper.freshAt(now, target.listed.id);
-    if (const engine_report *report = keeper.reportOf(target.listed.id)) {
-        made.atHand = report->atHand;
-        made.inMemory = report->inMemory;
+    made.fresh = reconciler.recentlyLoadedAt(now, target.listed.id);
+    if (const engine_report *report = reconciler.reportOf(target.listed.id)) {
+        made.cachedModels = report->cachedModels;
+        made.memoryCachedModels = report->memoryCachedModels;
     }
     return made;
 }
 
-static residency_plan residencyOf(const replica_plan &replicas, const engine_traits &traits)
+static residency_plan residencyPlanOf(const replica_plan &replicas, const engine_traits &traits)
 {
     const auto bytesOf = [&traits](const model_id &model) {
         const served_model *known = traits.find(model);
@@ -83,42 +83,42 @@
     for (const auto &[target, models] : replicas.wanted) {
         wanted_target wanted{target, {}, {}};
         for (const model_id &model : models) {
-            wanted.models.push_back({model, onlyVersion, bytesOf(model)});
+            wanted.models.push_back({model, newestVersion, bytesOf(model)});
         }
         plan.wanted.targets.push_back(std::move(wanted));
     }
     for (const replica_load &load : replicas.loads) {
-        plan.wanted.loads.push_back({load.target, load.model, onlyVersion, {}, bytesOf(load.model), move_cause::Demand});
+        plan.wanted.loads.push_back({load.target, load.model, newestVersion, {}, bytesOf(load.model), move_cause::Demand});
     }
-    plan.yielding = replicas.yielding;
+    plan.evictable = replicas.evictable;
     return plan;
 }
 
-residency_plan planResidency(instant now,
+residency_plan planServiceResidency(instant now,
                              const service_id &service,
                              const engine_traits &traits,
                              const target_pool &pool,
-                             const residency_keeper &keeper,
+                             const residency_reconciler &reconciler,
                              const demand_view &demand,
                              const std::map<model_id, double> &unserved)
 {
     std::vector<replica_engine> engines;
     for (const auto &[id, target] : pool.targets()) {
         if (target.listed.service == service && target.listed.isEngine && target.takesNew()) {
-            engines.push_back(engineOf(now, target, traits, keeper));
+            engines.push_back(replicaEngineOf(now, target, traits, reconciler));
         }
     }
     std::vector<replica_model> models;
     for (const served_model &model : traits.models) {
-        models.push_back(modelOf(model, demand, unserved));
+        models.push_back(replicaModelOf(model, demand, unserved));
     }
     std::set<model_id> busy;
     for (const replica_model &model : models) {
-        if (model.streams >= busyStreams) {
+        if (model.streams >= prefetchMinStreams) {
             busy.insert(model.model);
         }
     }
-    residency_plan plan = residencyOf(planReplicas(std::move(engines), std::move(models)), traits);
+    residency_plan plan = residencyPlanOf(planReplicas(std::move(engines), std::move(models)), traits);
     plan.busy = std::move(busy);
     return plan;
 }
--- a/packages/gateway/lib/residency_keeper.cpp
+++ b/packages/gateway/lib/residency_reconciler.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// What the keeper orders of models. Adapters are in residency_adapters.cpp, what it learns in
 /// residency_answers.cpp.
-#include "fuchsialoom/gateway/residency_keeper.h"
+#include "fuchsialoom/gateway/residency_reconciler.h"
 
 #include "held_models.h"
 
@@ -11,62 +11,62 @@
 {
 
 /// From the news that a model goes until its unload: requests on their way still find it.
-static constexpr milliseconds unloadSettle{120};
+static constexpr milliseconds unloadDelay{120};
 /// Between two times that an unload under way is told.
-static constexpr milliseconds newsAgain{1000};
+static constexpr milliseconds reannounceInterval{1000};
 /// What is left of a departure after the turn between two holders, 3 s on all deployments.
-static constexpr milliseconds afterTurn{2000};
+static constexpr milliseconds adapterHoldAfterTakeover{2000};
 /// The least turn between two holders: loads that another VM ordered are at least so old when this one begins.
-static constexpr milliseconds leastTurn{3000};
+static constexpr milliseconds minHandoverTime{3000};
 
-residency_keeper::residency_keeper(load_limits limits, decision_log &log)
+residency_reconciler::residency_reconciler(store_load_limits limits, decision_log &log)
     : m_limits(limits)
     , m_log(log)
 {
 }
 
-void residency_keeper::reset(instant now)
+void residency_reconciler::reset(instant now)
 {
     // The other's last order is a turn ago already.
-    m_adaptersFrom = now + afterTurn;
+    m_adapterMovesFrom = now + adapterHoldAfterTakeover;
     // It may have used up the store's rate right before its turn ended.
-    m_storeFrom = now + std::max(milliseconds(0), m_limits.window - leastTurn);
+    m_storeLoadsFrom = now + std::max(milliseconds(0), m_limits.window - minHandoverTime);
     m_loadStarts.clear();
     m_engines.clear();
-    m_wants.clear();
+    m_adapterWants.clear();
     m_plans.clear();
-    m_due.clear();
+    m_scheduledNews.clear();
 }
 
-void residency_keeper::setTraits(const service_id &service, const engine_traits &traits)
+void residency_reconciler::setTraits(const service_id &service, const engine_traits &traits)
 {
     m_traits[service] = traits;
 }
 
-void residency_keeper::setPlan(const service_id &service, residency_plan plan)
+void residency_reconciler::setPlan(const service_id &service, residency_plan plan)
 {
     m_plans[service] = std::move(plan);
 }
 
-const std::vector<held_model> *residency_keeper::heldBy(const target_id &target) const
+const std::vector<held_model> *residency_reconciler::heldBy(const target_id &target) const
 {
     const engine_report *report = reportOf(target);
     return report ? &report->models : nullptr;
 }
 
-bool residency_keeper::isReported(const target_id &target) const
+bool residency_reconciler::hasReport(const target_id &target) const
 {
     return heldBy(target) != nullptr;
 }
 
-std::optional<model_id> residency_keeper::goingFrom(const target_id &target) const
+std::optional<model_id> residency_reconciler::unloadingFrom(const target_id &target) const
 {
     const auto found = m_engines.find(target);
     if (found == m_engines.end()) {
         return std::nullopt;
     }
     const engine &at = found->second;
-    for (const std::optional<residency_order> *one : {&at.retiring, &at.sent, &at.loading}) {
+    for (const std::optional<residency_order> *one : {&at.pendingUnload, &at.unanswered, &at.inProgress}) {
         if (*one && !(*one)->load && (*one)->adapter.empty()) {
             return (*one)->model;
         }
@@ -74,19 +74,19 @@
     return std::nullopt;
 }
 
-std::set<model_id> residency_keeper::freshAt(instant now, const target_id &target) const
+std::set<model_id> residency_reconciler::recentlyLoadedAt(instant now, const target_id &target) const
 {
     std::set<model_id> fresh;
     const auto found = m_engines.find(target);
     if (found == m_engines.end()) {
         return fresh;
     }
-    for (const auto &[model, until] : found->second.freshUntil) {
+    for (const auto &[model, until] : found->second.recentlyLoadedUntil) {
         if (now < until) {
             fresh.insert(model);
         }
     }
-    for (const std::optional<residency_order> *one : {&found->second.sent, &found->second.loading}) {
+    for (const std::optional<residency_order> *one : {&found->second.unanswered, &found->second.inProgress}) {
         if (*one && (*one)->load && (*one)->adapter.empty()) {
             fresh.insert((*one)->model);
         }
@@ -94,13 +94,13 @@
     return fresh;
 }
 
-const engine_report *residency_keeper::reportOf(const target_id &target) const
+const engine_report *residency_reconciler::reportOf(const target_id &target) const
 {
     const auto found = m_engines.find(target);
     return found == m_engines.end() || !found->second.known ? nullptr : &found->second.report;
 }
 
-void residency_keeper::syncEngines(const target_pool &pool)
+void residency_reconciler::trackListedEngines(const target_pool &pool)
 {
     std::erase_if(m_engines, [&pool](const auto &entry) {
         return pool.find(entry.first) == nullptr;
@@ -112,7 +112,7 @@
     }
 }
 
-double residency_keeper::megabytesOf(const engine &at, const engine_traits &traits) const
+double residency_reconciler::usedMegabytes(const engine &at, const engine_traits &traits) const
 {
     double megabytes = 0;
     for (const held_model &held : at.report.models) {
@@ -126,12 +126,12 @@
     return megabytes;
 }
 
-void residency_keeper::handOut(instant now, engine &at, residency_order order, residency_steps &steps)
+void residency_reconciler::issueOrder(instant now, engine &at, residency_order order, residency_actions &actions)
 {
     order.expected = at.report.orderCount;
-    at.sent = order;
-    at.sentAt = now;
-    at.sentUsesStore = order.load && order.adapter.empty() && !at.report.atHand.contains(order.model);
+    at.unanswered = order;
+    at.unansweredSince = now;
+    at.unansweredUsesStore = order.load && order.adapter.empty() && !at.report.cachedModels.contains(order.model);
     m_lastOrder = now;
     m_orders += 1;
     m_log.write(now,
@@ -141,10 +141,10 @@
                     .with("model", order.model)
                     .with("adapter", order.adapter)
                     .with("expected", order.expected));
-    steps.orders.push_back(std::move(order));
+    actions.orders.push_back(std::move(order));
 }
 
-bool residency_keeper::mayStartLoad(instant now, const engine_traits &traits, double loadSeconds)
+bool residency_reconciler::mayStartLoad(instant now, const engine_traits &traits, double loadSeconds)
 {
     while (!m_loadStarts.empty() && now - m_loadStarts.front() > m_limits.window) {
         m_loadStarts.pop_front();
@@ -152,23 +152,23 @@
     const double windowSeconds = std::chrono::duration<double>(m_limits.window).count();
     // Orders without an answer may be carried out at any moment yet, beyond the window in which they were sent.
     const auto unresolved = std::ranges::count_if(m_engines, [now, this](const auto &entry) {
-        return entry.second.sent && entry.second.sentUsesStore && now - entry.second.sentAt > m_limits.window;
+        return entry.second.unanswered && entry.second.unansweredUsesStore && now - entry.second.unansweredSince > m_limits.window;
     });
     const auto starts = static_cast<double>(m_loadStarts.size()) + static_cast<double>(unresolved);
-    if (now < m_storeFrom || starts + 1 > traits.loadsPerSecond * windowSeconds * m_limits.excess) {
+    if (now < m_storeLoadsFrom || starts + 1 > traits.loadsPerSecond * windowSeconds * m_limits.rateFactor) {
         return false;
     }
     // More at once than the store sends at full speed would slow all of them down.
     const double atOnce = std::max(1.0, traits.loadsPerSecond * loadSeconds);
     double underWay = 0;
     for (const auto &[id, at] : m_engines) {
-        underWay += at.loading && at.loading->load ? 1 : 0;
-        underWay += at.sent && at.sent->load && at.sent->adapter.empty() ? 1 : 0;
+        underWay += at.inProgress && at.inProgress->load ? 1 : 0;
+        underWay += at.unanswered && at.unanswered->load && at.unanswered->adapter.empty() ? 1 : 0;
     }
     return underWay + 1 <= atOnce;
 }
 
-std::size_t residency_keeper::certainCopies(const model_id &model, const target_id &except, const target_pool &pool) const
+std::size_t residency_reconciler::confirmedCopies(const model_id &model, const target_id &except, const target_pool &pool) const
 {
     std::size_t copies = 0;
     for (const auto &[id, at] : m_engines) {
@@ -176,21 +176,21 @@
         if (id == except || !target || !target->takesNew() || !at.known || !holdsModel(at.report.models, model)) {
             continue;
         }
-        const bool goes = (at.retiring && at.retiring->model == model) || (at.sent && !at.sent->load && at.sent->model == model)
-            || (at.loading && at.loading->model == model);
+        const bool goes = (at.pendingUnload && at.pendingUnload->model == model) || (at.unanswered && !at.unanswered->load && at.unanswered->model == model)
+            || (at.inProgress && at.inProgress->model == model);
         copies += goes ? 0 : 1;
     }
     return copies;
 }
 
 /// Whether \p from may drop \p model: another engine holds it for certain, or the plan lets its last copy go.
-bool residency_keeper::mayGo(const model_id &model, const service_id &service, const target_id &from, const target_pool &pool) const
+bool residency_reconciler::mayUnload(const model_id &model, const service_id &service, const target_id &from, const target_pool &pool) const
 {
     const auto plan = m_plans.find(service);
-    return certainCopies(model, from, pool) > 0 || (plan != m_plans.end() && plan->second.yielding.contains(model));
+    return confirmedCopies(model, from, pool) > 0 || (plan != m_plans.end() && plan->second.evictable.contains(model));
 }
 
-bool residency_keeper::isWanted(const model_id &model, const engine &at, const target_id &id) const
+bool residency_reconciler::isPlanned(const model_id &model, const engine &at, const target_id &id) const
 {
     const auto plan = m_plans.find(at.service);
     const wanted_target *wanted = plan == m_plans.end() ? nullptr : plan->second.wanted.find(id);
@@ -200,21 +200,21 @@
 }
 
 /// Starts the unload of a model that the plan doesn't want there and that may go.
-bool residency_keeper::makeRoom(instant now, const target_pool &pool, engine &at, const target_id &id, residency_steps &steps)
+bool residency_reconciler::startUnloadForRoom(instant now, const target_pool &pool, engine &at, const target_id &id, residency_actions &actions)
 {
     for (const held_model &held : at.report.models) {
-        if (isWanted(held.model, at, id) || !mayGo(held.model, at.service, id, pool)) {
+        if (isPlanned(held.model, at, id) || !mayUnload(held.model, at.service, id, pool)) {
             continue;
         }
-        at.retiring = residency_order{id, pool.find(id)->listed.address, false, held.model, {}, 0};
-        at.retireAt = now + unloadSettle;
-        steps.news.push_back({id, held.model, {}, false});
+        at.pendingUnload = residency_order{id, pool.find(id)->listed.address, false, held.model, {}, 0};
+        at.unloadAt = now + unloadDelay;
+        actions.news.push_back({id, held.model, {}, false});
         return true;
     }
     return false;
 }
 
-bool residency_keeper::startLoad(instant now, const target_pool &pool, const wanted_load &load, residency_steps &steps)
+bool residency_reconciler::startLoad(instant now, const target_pool &pool, const wanted_load &load, residency_actions &actions)
 {
     const auto found = m_engines.find(load.target);
     const pool_target *target = pool.find(load.target);
@@ -224,105 +224,105 @@
     engine &at = found->second;
     const engine_traits &traits = m_traits.at(at.service);
     const served_model *model = traits.find(load.model);
-    if (!model || !at.known || at.report.busy || at.sent || at.loading || at.retiring || holdsModel(at.report.models, load.model)) {
+    if (!model || !at.known || at.report.busy || at.unanswered || at.inProgress || at.pendingUnload || holdsModel(at.report.models, load.model)) {
         return false;
     }
-    const bool fromStore = !at.report.atHand.contains(load.model);
+    const bool fromStore = !at.report.cachedModels.contains(load.model);
     if (fromStore && !mayStartLoad(now, traits, model->loadSeconds)) {
         return false;
     }
-    if (megabytesOf(at, traits) + model->megabytes > traits.megabytes) {
-        return makeRoom(now, pool, at, load.target, steps);
+    if (usedMegabytes(at, traits) + model->megabytes > traits.megabytes) {
+        return startUnloadForRoom(now, pool, at, load.target, actions);
     }
     if (fromStore) {
         m_loadStarts.push_back(now);
     }
-    handOut(now, at, {load.target, target->listed.address, true, load.model, {}, 0}, steps);
+    issueOrder(now, at, {load.target, target->listed.address, true, load.model, {}, 0}, actions);
     return true;
 }
 
-void residency_keeper::followPlan(instant now, const target_pool &pool, residency_steps &steps)
+void residency_reconciler::startPlannedLoads(instant now, const target_pool &pool, residency_actions &actions)
 {
     for (const auto &[service, plan] : m_plans) {
         for (const wanted_load &load : plan.wanted.loads) {
             if (load.adapter.empty()) {
-                startLoad(now, pool, load, steps);
+                startLoad(now, pool, load, actions);
             }
         }
     }
 }
 
 /// Unloads whose news has spread.
-void residency_keeper::retire(instant now, const target_pool &pool, residency_steps &steps)
+void residency_reconciler::startPendingUnloads(instant now, const target_pool &pool, residency_actions &actions)
 {
     for (auto &[id, at] : m_engines) {
-        if (!at.retiring || now < at.retireAt || at.sent) {
+        if (!at.pendingUnload || now < at.unloadAt || at.unanswered) {
             continue;
         }
-        const residency_order order = *at.retiring;
-        at.retiring.reset();
-        const bool isStill = at.known && !at.report.busy && holdsModel(at.report.models, order.model);
+        const residency_order order = *at.pendingUnload;
+        at.pendingUnload.reset();
+        const bool isResident = at.known && !at.report.busy && holdsModel(at.report.models, order.model);
         // A later plan may want it here after all.
-        if (!isStill || isWanted(order.model, at, id) || !mayGo(order.model, at.service, id, pool)) {
+        if (!isResident || isPlanned(order.model, at, id) || !mayUnload(order.model, at.service, id, pool)) {
             if (at.known && holdsModel(at.report.models, order.model)) {
-                steps.news.push_back({id, order.model, {}, true});
+                actions.news.push_back({id, order.model, {}, true});
             }
             continue;
         }
-        handOut(now, at, order, steps);
+        issueOrder(now, at, order, actions);
     }
 }
 
-void residency_keeper::askReports(instant now, residency_steps &steps)
+void residency_reconciler::requestReports(instant now, residency_actions &actions)
 {
     for (auto &[id, at] : m_engines) {
-        const bool needed = !at.known || at.loading || at.report.busy;
-        if (needed && !at.asked && !at.sent && now >= at.askAt) {
-            at.asked = true;
-            steps.reports.push_back(id);
+        const bool needed = !at.known || at.inProgress || at.report.busy;
+        if (needed && !at.reportRequested && !at.unanswered && now >= at.nextReportAt) {
+            at.reportRequested = true;
+            actions.reports.push_back(id);
         }
     }
 }
 
 /// An engine lists a model until its last run is over, and refuses requests for it meanwhile. VMs believe
 /// news for 3 s, so it is told again while the unload lasts.
-void residency_keeper::repeatNews(instant now, residency_steps &steps)
+void residency_reconciler::reannounceUnloads(instant now, residency_actions &actions)
 {
     for (auto &[id, at] : m_engines) {
-        const bool unloads = at.loading && !at.loading->load;
-        if (unloads && now - at.toldAt > newsAgain) {
-            at.toldAt = now;
-            steps.news.push_back({id, at.loading->model, {}, false});
+        const bool unloads = at.inProgress && !at.inProgress->load;
+        if (unloads && now - at.lastAnnouncedAt > reannounceInterval) {
+            at.lastAnnouncedAt = now;
+            actions.news.push_back({id, at.inProgress->model, {}, false});
         }
     }
 }
 
-residency_steps residency_keeper::step(instant now, const target_pool &pool)
+residency_actions residency_reconciler::step(instant now, const target_pool &pool)
 {
-    residency_steps steps;
-    syncEngines(pool);
+    residency_actions actions;
+    trackListedEngines(pool);
     for (auto &[id, at] : m_engines) {
-        if (at.sent && at.resendAt && now >= *at.resendAt) {
-            at.resendAt.reset();
+        if (at.unanswered && at.resendDue && now >= *at.resendDue) {
+            at.resendDue.reset();
             m_lastOrder = now;
-            steps.orders.push_back(*at.sent);
+            actions.orders.push_back(*at.unanswered);
         }
     }
-    serveWants(now, pool, steps);
-    prefetchAdapters(now, pool, steps);
-    retire(now, pool, steps);
-    followPlan(now, pool, steps);
-    askReports(now, steps);
-    repeatNews(now, steps);
-    for (const due_news &due : m_due) {
+    serveAdapterWants(now, pool, actions);
+    prefetchAdapters(now, pool, actions);
+    startPendingUnloads(now, pool, actions);
+    startPlannedLoads(now, pool, actions);
+    requestReports(now, actions);
+    reannounceUnloads(now, actions);
+    for (const scheduled_news &due : m_scheduledNews) {
         if (due.at <= now) {
-            steps.news.push_back(due.news);
+            actions.news.push_back(due.news);
         }
     }
-    std::erase_if(m_due, [now](const due_news &due) {
+    std::erase_if(m_scheduledNews, [now](const scheduled_news &due) {
         return due.at <= now;
     });
-    return steps;
+    return actions;
 }
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/retry_rules.cpp
+++ b/packages/gateway/lib/retry_rules.cpp
@@ -8,19 +8,19 @@
 {
 
 /// Targets that refuse connections cost a millisecond each; after so many the caller is told to come back.
-static constexpr std::uint32_t mostUnsentTries = 4;
+static constexpr std::uint32_t maxConnectFailures = 4;
 /// The window is counted in so many buckets.
 static constexpr int bucketsPerWindow = 20;
 /// Of the shared fixed number, what the VMs take together: the rest covers that they disagree on how
 /// many live, and the edges of buckets.
-static constexpr double slackTaken = 0.7;
+static constexpr double usableShare = 0.7;
 
-retry_step afterAttempt(attempt_outcome outcome, const attempt_history &history, bool budget)
+retry_step nextStep(attempt_outcome outcome, const attempt_history &history, bool budget)
 {
-    const bool attemptsLeft = history.sentTo < history.attempts;
+    const bool attemptsLeft = history.targetsTried < history.attempts;
     switch (outcome) {
     case attempt_outcome::NotSent:
-        if (history.unsentTries < mostUnsentTries) {
+        if (history.connectFailures < maxConnectFailures) {
             return retry_step::TryElsewhere;
         }
         break;
@@ -38,17 +38,17 @@
     return history.mayHaveRun ? retry_step::Fail : retry_step::Refuse;
 }
 
-void shared_budget::setLimits(limits allowed)
+void shared_retry_budget::setLimits(limits allowed)
 {
     m_limits = allowed;
 }
 
-void shared_budget::setVms(std::size_t live)
+void shared_retry_budget::setLiveVmCount(std::size_t live)
 {
     m_vms = std::max<std::size_t>(1, live);
 }
 
-shared_budget::bucket &shared_budget::current(instant now)
+shared_retry_budget::bucket &shared_retry_budget::current(instant now)
 {
     const auto length = m_limits.window / bucketsPerWindow;
     while (!m_buckets.empty() && now - m_buckets.front().from > m_limits.window + length) {
@@ -60,29 +60,29 @@
     return m_buckets.back();
 }
 
-void shared_budget::countRequest(instant now)
+void shared_retry_budget::countRequest(instant now)
 {
     current(now).requests += 1;
 }
 
-void shared_budget::countRepeat(instant now)
+void shared_retry_budget::countRetry(instant now)
 {
-    current(now).repeats += 1;
+    current(now).retries += 1;
 }
 
-bool shared_budget::allows(instant now)
+bool shared_retry_budget::allows(instant now)
 {
     current(now);
     double requests = 0;
-    double repeats = 0;
+    double retries = 0;
     for (const bucket &one : m_buckets) {
         requests += one.requests;
-        repeats += one.repeats;
+        retries += one.retries;
     }
     // All of the ratio can't be spent: the requests of this window are counted as they come, the
     // repeats of any window that slides over them as well.
-    const double allowed = slackTaken * (m_limits.ratio * requests + m_limits.slack / static_cast<double>(m_vms));
-    return repeats + 1 <= allowed;
+    const double allowed = usableShare * (m_limits.ratio * requests + m_limits.slack / static_cast<double>(m_vms));
+    return retries + 1 <= allowed;
 }
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/routes.cpp
+++ b/packages/gateway/lib/routes.cpp
@@ -29,7 +29,7 @@
     return parsed.ptr == end && parsed.ec == std::errc() && number >= 1 && number <= model.adapters && name[1] != '0';
 }
 
-adapter_id adapterAt(std::uint32_t number)
+adapter_id numberedAdapter(std::uint32_t number)
 {
     std::string name = std::to_string(number);
     name.insert(name.begin(), 'a');
--- a/packages/gateway/lib/target_pool.cpp
+++ b/packages/gateway/lib/target_pool.cpp
@@ -10,43 +10,43 @@
 
 /// What a holder tells of a target holds against the list for so long: a target writes its entry each
 /// 1.2 s, and readers see it up to 1 s later.
-static constexpr milliseconds newsHold{3000};
+static constexpr milliseconds newsOverrideTime{3000};
 /// A peer that is silent for so long counts as gone, with what it had in flight; several digests.
 static constexpr milliseconds peerSilence{2000};
 /// An entry of a target whose address another process has is of a process that ended, and lapses within three
 /// heartbeats of 1.2 s; some are written once more after that. Four such engines stood in the plan with the models that
 /// they had held, for 3 s and more.
-static constexpr milliseconds displacement{10000};
+static constexpr milliseconds displacementTime{10000};
 /// A target whose host refused a connection is asked again after this, and after twice as long each time that it
 /// refuses again. Longer than its word is repeated between VMs, which must not take it out anew.
-static constexpr milliseconds firstUnreachable{1500};
-static constexpr std::uint32_t mostDoublings = 2;
+static constexpr milliseconds initialUnreachableTime{1500};
+static constexpr std::uint32_t maxBackoffDoublings = 2;
 /// A peer's word of a plain target holds for so many mean runs, and for the time that its next word may take more. It
 /// tells of each send at once, but of an end only with its next send: at 60 VMs a call of 15 ms stood in the counts for
 /// 0.15 s, and two calls in ten waited 87 ms and more for targets that were idle.
-static constexpr int runsTold = 2;
-static constexpr milliseconds wordTime{20};
+static constexpr int peerCountMeanRuns = 2;
+static constexpr milliseconds peerCountSlack{20};
 /// Weight of the newest run in a service's mean.
-static constexpr int runWeight = 8;
+static constexpr int newestRunDivisor = 8;
 /// Half of what a target failed is forgotten in so long: the shortest grey failure that the users name
 /// lasts 4 s, and a target that is well again shall get its part within a few seconds.
-static constexpr milliseconds troubleHalfLife{1500};
+static constexpr milliseconds failureHalfLife{1500};
 /// Weight of the newest attempt in a target's share of failures.
-static constexpr double troubleStep = 0.25;
+static constexpr double newestAttemptWeight = 0.25;
 /// Share of a target's load that a request in another domain costs more: bytes between domains are
 /// priced, and half a millisecond each way.
 static constexpr double foreignDomainCost = 0.04;
 /// A target that fails everything counts as twice full.
-static constexpr double troubleCost = 2.0;
+static constexpr double failureCost = 2.0;
 /// Targets that start together are listed one after the other, as their heartbeats come (1.2 s apart) and
 /// the list is read (each 0.9 s). A plan made in between takes most models for lost, and drops copies of the
 /// busy ones to load them again: of ten copies of the busiest model five were gone before the first request.
-static constexpr milliseconds listingSettle{2200};
+static constexpr milliseconds listingSettleTime{2200};
 /// Prompt tokens that an engine reads in the longest pause that the users allow in a stream, 300 ms, beside the
 /// tokens that it makes: the users' engines read 38 in a ms. Prompts of one request after the other are read
 /// between the tokens of all others, so whatever comes beyond this delays an event of every stream there.
-static constexpr std::uint32_t mostUnread = 9000;
-/// Weight of the prompts that an engine still has to read, as a share of `mostUnread`, against its taken slots.
+static constexpr std::uint32_t maxUnreadTokens = 9000;
+/// Weight of the prompts that an engine still has to read, as a share of `maxUnreadTokens`, against its taken slots.
 static constexpr double unreadCost = 1.0;
 /// Spread of equal targets, so that VMs with the same view don't all choose the same one.
 static constexpr double jitter = 0.08;
@@ -63,7 +63,7 @@
 
 target_pool::target_pool(domain_id ownDomain)
     : m_ownDomain(std::move(ownDomain))
-    , m_peers([this](target_key key, const target_flights &sum) {
+    , m_peers([this](target_key key, const target_in_flight &sum) {
         const auto named = m_keys.find(key);
         if (named != m_keys.end()) {
             m_targets.at(named->second).peers = sum;
@@ -72,7 +72,7 @@
 {
 }
 
-void target_pool::setHeld(pool_target &target, const residency_news &news)
+void target_pool::setHeld(pool_target &target, const residency_change &news)
 {
     std::vector<held_model> &models = target.listed.models;
     const auto held = std::find_if(models.begin(), models.end(), [&news](const held_model &one) {
@@ -113,10 +113,10 @@
     }
 }
 
-bool target_pool::list(instant now, listed_upstream target)
+bool target_pool::list(instant now, target_listing target)
 {
     pool_target &entry = m_targets[target.id];
-    const listed_upstream before = entry.listed;
+    const target_listing before = entry.listed;
     entry.listed = std::move(target);
     entry.listedModels = entry.listed.models;
     applyNews(now, entry);
@@ -125,10 +125,10 @@
         entry.unreachable = false;
     }
     if (before.id.empty()) {
-        m_lastArrival = now;
+        m_lastNewTargetAt = now;
         entry.key = target_key(entry.listed.id);
         m_keys.insert_or_assign(entry.key, entry.listed.id);
-        entry.peers = m_peers.sumAt(entry.key);
+        entry.peers = m_peers.totalAt(entry.key);
     }
     return before != entry.listed;
 }
@@ -154,7 +154,7 @@
 
 bool target_pool::isSettled(instant now)
 {
-    m_settled = m_settled || (!m_targets.empty() && now - m_lastArrival >= listingSettle);
+    m_settled = m_settled || (!m_targets.empty() && now - m_lastNewTargetAt >= listingSettleTime);
     return m_settled;
 }
 
@@ -168,7 +168,7 @@
     }
 }
 
-void target_pool::learn(instant now, const residency_news &news)
+void target_pool::addNews(instant now, const residency_change &news)
 {
     const auto found = m_targets.find(news.target);
     if (found == m_targets.end()) {
@@ -182,21 +182,21 @@
     std::erase_if(kept, [&news](const held_news &one) {
         return one.news.model == news.model && one.news.adapter == news.adapter;
     });
-    kept.push_back({news, now + newsHold});
+    kept.push_back({news, now + newsOverrideTime});
     setHeld(found->second, news);
 }
 
 void target_pool::noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter)
 {
-    learn(now, {id, model, adapter, false});
+    addNews(now, {id, model, adapter, false});
 }
 
-void target_pool::setPeerFlights(instant now, const vm_id &vm, const flight_counts &counts)
+void target_pool::setPeerFlights(instant now, const vm_id &vm, const in_flight_counts &counts)
 {
     m_peers.set(now, vm, counts);
 }
 
-void target_pool::changePeerFlights(instant now, const vm_id &vm, const flight_counts &changed)
+void target_pool::changePeerFlights(instant now, const vm_id &vm, const in_flight_counts &changed)
 {
     m_peers.change(now, vm, changed);
 }
@@ -214,7 +214,7 @@
     }
     const bool isNews = !found->second.displaced;
     found->second.displaced = true;
-    found->second.displacedUntil = now + displacement;
+    found->second.displacedUntil = now + displacementTime;
     return isNews;
 }
 
@@ -226,8 +226,8 @@
     }
     pool_target &target = found->second;
     target.unreachable = true;
-    target.unreachableUntil = now + firstUnreachable * (1 << std::min(target.refusals, mostDoublings));
-    target.refusals += 1;
+    target.unreachableUntil = now + initialUnreachableTime * (1 << std::min(target.consecutiveRefusals, maxBackoffDoublings));
+    target.consecutiveRefusals += 1;
     return true;
 }
 
@@ -237,12 +237,12 @@
         target.displaced = target.displaced && now < target.displacedUntil;
         target.unreachable = target.unreachable && now < target.unreachableUntil;
     }
-    m_peers.forgetSilent(now - peerSilence);
+    m_peers.removeStale(now - peerSilence);
 }
 
 /// Requests that a target gets at once. An engine queues more, but what waits there waits in the order
 /// of arrival behind whatever came; here the most urgent goes first.
-std::uint32_t target_pool::placesOf(const pool_target &target)
+std::uint32_t target_pool::slotsOf(const pool_target &target)
 {
     return target.listed.slots;
 }
@@ -253,15 +253,15 @@
     if (target.listed.isEngine || run == m_runs.end()) {
         return target.inFlight();
     }
-    const instant oldest = now - runsTold * run->second - wordTime;
-    return target.own.requests + m_peers.requestsToldSince(target.key, oldest);
+    const instant oldest = now - peerCountMeanRuns * run->second - peerCountSlack;
+    return target.own.requests + m_peers.requestsReportedSince(target.key, oldest);
 }
 
 void target_pool::noteRun(const service_id &service, milliseconds length)
 {
     const auto [found, isNew] = m_runs.try_emplace(service, length);
     if (!isNew) {
-        found->second += (microseconds(length) - found->second) / runWeight;
+        found->second += (microseconds(length) - found->second) / newestRunDivisor;
     }
 }
 
@@ -269,18 +269,18 @@
 static bool canRead(const pool_target &target, std::uint32_t tokens)
 {
     const std::uint32_t unread = target.unreadTokens();
-    return unread == 0 || unread + tokens <= mostUnread;
+    return unread == 0 || unread + tokens <= maxUnreadTokens;
 }
 
 double target_pool::scoreOf(instant now, const pool_target &target, std::uint64_t draw) const
 {
     const double load = static_cast<double>(inFlightAt(now, target)) / std::max(1U, target.listed.slots);
-    const double halvings = std::chrono::duration<double>(now - target.troubleAt) / std::chrono::duration<double>(troubleHalfLife);
-    const double trouble = target.trouble * std::exp2(-std::max(0.0, halvings));
-    const double unread = static_cast<double>(target.unreadTokens()) / mostUnread;
+    const double halvings = std::chrono::duration<double>(now - target.failureShareAt) / std::chrono::duration<double>(failureHalfLife);
+    const double failureShare = target.failureShare * std::exp2(-std::max(0.0, halvings));
+    const double unread = static_cast<double>(target.unreadTokens()) / maxUnreadTokens;
     const double foreign = target.listed.domain == m_ownDomain ? 0 : foreignDomainCost;
     const double spread = jitter * static_cast<double>(draw % 1024) / 1024;
-    return load + unreadCost * unread + foreign + troubleCost * trouble + spread;
+    return load + unreadCost * unread + foreign + failureCost * failureShare + spread;
 }
 
 target_choice target_pool::choose(instant now, const target_query &query, std::uint64_t draw)
@@ -299,7 +299,7 @@
             continue;
         }
         choice.candidates += 1;
-        if (inFlightAt(now, target) >= placesOf(target) || !canRead(target, query.promptTokens)) {
+        if (inFlightAt(now, target) >= slotsOf(target) || !canRead(target, query.promptTokens)) {
             continue;
         }
         state = state * 6364136223846793005ULL + 1442695040888963407ULL;
@@ -326,7 +326,7 @@
 {
     return std::any_of(m_targets.begin(), m_targets.end(), [&](const auto &entry) {
         const pool_target &target = entry.second;
-        return target.listed.service == service && target.takesNew() && target.inFlight() < placesOf(target)
+        return target.listed.service == service && target.takesNew() && target.inFlight() < slotsOf(target)
             && (model.empty() || !target.listed.isEngine || target.holds(model, {}));
     });
 }
@@ -344,7 +344,7 @@
 {
     const auto found = m_targets.find(id);
     if (found != m_targets.end()) {
-        target_flights &own = found->second.own;
+        target_in_flight &own = found->second.own;
         own.unreadTokens -= std::min(own.unreadTokens, promptTokens);
         m_changedFlights.insert(id);
     }
@@ -359,20 +359,20 @@
     }
 }
 
-static void mixTrouble(instant now, pool_target &target, double newest)
+static void recordOutcome(instant now, pool_target &target, double newest)
 {
-    const double halvings = std::chrono::duration<double>(now - target.troubleAt) / std::chrono::duration<double>(troubleHalfLife);
-    const double kept = target.trouble * std::exp2(-std::max(0.0, halvings));
-    target.trouble = kept * (1 - troubleStep) + newest * troubleStep;
-    target.troubleAt = now;
+    const double halvings = std::chrono::duration<double>(now - target.failureShareAt) / std::chrono::duration<double>(failureHalfLife);
+    const double kept = target.failureShare * std::exp2(-std::max(0.0, halvings));
+    target.failureShare = kept * (1 - newestAttemptWeight) + newest * newestAttemptWeight;
+    target.failureShareAt = now;
 }
 
 void target_pool::succeeded(instant now, const target_id &id)
 {
     const auto found = m_targets.find(id);
     if (found != m_targets.end()) {
-        found->second.refusals = 0;
-        mixTrouble(now, found->second, 0);
+        found->second.consecutiveRefusals = 0;
+        recordOutcome(now, found->second, 0);
         found->second.avoidUntil = instant{};
     }
 }
@@ -381,7 +381,7 @@
 {
     const auto found = m_targets.find(id);
     if (found != m_targets.end()) {
-        mixTrouble(now, found->second, 1);
+        recordOutcome(now, found->second, 1);
     }
 }
 
@@ -393,9 +393,9 @@
     }
 }
 
-flight_counts target_pool::ownFlights() const
+in_flight_counts target_pool::ownFlights() const
 {
-    flight_counts counts;
+    in_flight_counts counts;
     for (const auto &[id, target] : m_targets) {
         if (target.own.requests > 0) {
             counts[id] = target.own;
@@ -404,12 +404,12 @@
     return counts;
 }
 
-flight_counts target_pool::takeChangedFlights()
+in_flight_counts target_pool::takeChangedFlights()
 {
-    flight_counts counts;
+    in_flight_counts counts;
     for (const target_id &id : m_changedFlights) {
         const pool_target *target = find(id);
-        counts[id] = target ? target->own : target_flights();
+        counts[id] = target ? target->own : target_in_flight();
     }
     m_changedFlights.clear();
     return counts;
--- a/packages/gateway/unittests/demand_view_test.cpp
+++ b/packages/gateway/unittests/demand_view_test.cpp
@@ -7,17 +7,17 @@
 namespace fuchsialoom
 {
 
-TEST(demand_view, followsAShiftAndForgetsTheSilent)
+TEST(demand_view, followsAShiftAndDropsSilentVms)
 {
     constexpr instant start = instant(std::chrono::seconds(1000));
     demand_view view;
     view.setMemory(6);
-    view.tell(start, vm_id("a"), {{model_id("m"), {}, 0, 0, 10}});
-    view.tell(start, vm_id("b"), {{model_id("m"), {}, 0, 5, 5}});
+    view.setDemand(start, vm_id("a"), {{model_id("m"), {}, 0, 0, 10}});
+    view.setDemand(start, vm_id("b"), {{model_id("m"), {}, 0, 5, 5}});
     view.advance(start);
     for (int step = 1; step <= 15; ++step) {
-        view.tell(start + milliseconds(100) * step, vm_id("a"), {{model_id("m"), {}, 0, 0, 10}});
-        view.tell(start + milliseconds(100) * step, vm_id("b"), {{model_id("m"), {}, 0, 5, 5}});
+        view.setDemand(start + milliseconds(100) * step, vm_id("a"), {{model_id("m"), {}, 0, 0, 10}});
+        view.setDemand(start + milliseconds(100) * step, vm_id("b"), {{model_id("m"), {}, 0, 5, 5}});
         view.advance(start + milliseconds(100) * step);
     }
     const model_streams busy = view.models().at(model_id("m"));
--- a/packages/gateway/unittests/duty_lease_test.cpp
+++ b/packages/gateway/unittests/duty_lease_test.cpp
@@ -21,17 +21,17 @@
 constexpr instant start = instant(std::chrono::seconds(1000));
 
 /// What may go wrong, each as a share of the occasions.
-struct troubles
+struct fault_rates
 {
-    double lostAnswers = 0;
-    double lateAppends = 0;
-    double refusals = 0;
+    double lostResponses = 0;
+    double delayedAppends = 0;
+    double readFailures = 0;
     double freezes = 0;
     double restarts = 0;
-    double unheard = 0; ///< of a holder's digests
+    double lostDigests = 0; ///< of a holder's digests
 };
 
-struct made_order
+struct issued_order
 {
     instant at;
     int vm = 0;
@@ -42,9 +42,9 @@
 class lease_world
 {
 public:
-    lease_world(unsigned seed, troubles wrong)
+    lease_world(unsigned seed, fault_rates faults)
         : m_random(seed)
-        , m_wrong(wrong)
+        , m_faults(faults)
     {
         for (int vm = 0; vm < vmCount; ++vm) {
             startVm(vm);
@@ -56,25 +56,25 @@
         const instant end = m_now + length;
         while (m_now < end) {
             m_now += milliseconds(20);
-            deliver();
+            runDue();
             for (int vm = 0; vm < vmCount; ++vm) {
                 move(vm);
             }
         }
     }
 
-    void stopTroubles()
+    void stopFaults()
     {
-        m_wrong = {};
+        m_faults = {};
     }
 
     duty_lease &leaseOf(int vm)
     {
         return *m_vms[vm].lease;
     }
-    void cutFromLog(int vm)
+    void partitionFromLog(int vm)
     {
-        m_cut = vm;
+        m_partitionedVm = vm;
     }
     void kill(int vm)
     {
@@ -84,7 +84,7 @@
     {
         return m_now;
     }
-    const std::vector<made_order> &orders() const
+    const std::vector<issued_order> &orders() const
     {
         return m_orders;
     }
@@ -112,7 +112,7 @@
     {
         return std::uniform_real_distribution<double>(0, 1)(m_random) < share;
     }
-    milliseconds between(int least, int most)
+    milliseconds randomDelay(int least, int most)
     {
         return milliseconds(std::uniform_int_distribution<int>(least, most)(m_random));
     }
@@ -128,34 +128,34 @@
         m_vms[vm].lease = std::make_unique<duty_lease>(options, m_now);
     }
 
-    void later(milliseconds wait, std::function<void()> what)
+    void schedule(milliseconds wait, std::function<void()> action)
     {
-        m_due.emplace(m_now + wait, std::move(what));
+        m_due.emplace(m_now + wait, std::move(action));
     }
 
-    void deliver()
+    void runDue()
     {
         while (!m_due.empty() && m_due.begin()->first <= m_now) {
-            const auto what = std::move(m_due.begin()->second);
+            const auto action = std::move(m_due.begin()->second);
             m_due.erase(m_due.begin());
-            what();
+            action();
         }
     }
 
     /// Hands an answer to a VM; one that is frozen gets it when it goes on.
-    void answer(int vm, std::uint64_t incarnation, const std::function<void(duty_lease &)> &what)
+    void deliverResponse(int vm, std::uint64_t incarnation, const std::function<void(duty_lease &)> &action)
     {
         vm_state &state = m_vms[vm];
         if (state.incarnation != incarnation || state.frozenUntil == farFuture) {
             return;
         }
         if (state.frozenUntil > m_now) {
-            m_due.emplace(state.frozenUntil, [this, vm, incarnation, what] {
-                answer(vm, incarnation, what);
+            m_due.emplace(state.frozenUntil, [this, vm, incarnation, action] {
+                deliverResponse(vm, incarnation, action);
             });
             return;
         }
-        what(*state.lease);
+        action(*state.lease);
     }
 
     void move(int vm)
@@ -164,11 +164,11 @@
         if (state.frozenUntil > m_now) {
             return;
         }
-        if (chance(m_wrong.restarts)) {
+        if (chance(m_faults.restarts)) {
             startVm(vm);
         }
-        if (chance(m_wrong.freezes)) {
-            state.frozenUntil = m_now + between(200, 6000);
+        if (chance(m_faults.freezes)) {
+            state.frozenUntil = m_now + randomDelay(200, 6000);
             return;
         }
         duty_lease &lease = *state.lease;
@@ -186,28 +186,28 @@
             m_orders.push_back({m_now, vm, lease.fence()});
             lease.noteOrder(m_now);
         }
-        if (const auto word = lease.renounced(m_now)) {
-            tellRenounced(vm, *word);
+        if (const auto announcement = lease.renounced(m_now)) {
+            broadcastRenounced(vm, *announcement);
         }
         if (lease.isHolder(m_now)) {
             for (int other = 0; other < vmCount; ++other) {
-                if (other != vm && m_vms[other].frozenUntil <= m_now && !chance(m_wrong.unheard)) {
+                if (other != vm && m_vms[other].frozenUntil <= m_now && !chance(m_faults.lostDigests)) {
                     m_vms[other].lease->onHolderHeard(m_now);
                 }
             }
         }
     }
 
-    void tellRenounced(int vm, const renounced_fence &word)
+    void broadcastRenounced(int vm, const renounced_fence &announcement)
     {
         for (int other = 0; other < vmCount; ++other) {
-            if (other == vm || chance(m_wrong.unheard)) {
+            if (other == vm || chance(m_faults.lostDigests)) {
                 continue;
             }
             const std::uint64_t incarnation = m_vms[other].incarnation;
-            later(between(0, 2000), [=, this] {
-                answer(other, incarnation, [=, this](duty_lease &lease) {
-                    lease.onRenounced(m_now, word);
+            schedule(randomDelay(0, 2000), [=, this] {
+                deliverResponse(other, incarnation, [=, this](duty_lease &lease) {
+                    lease.onRenounced(m_now, announcement);
                 });
             });
         }
@@ -216,19 +216,19 @@
     void read(int vm)
     {
         const std::uint64_t incarnation = m_vms[vm].incarnation;
-        if (vm == m_cut || chance(m_wrong.refusals)) {
-            later(between(1, 1500), [=, this] {
-                answer(vm, incarnation, [this](duty_lease &lease) {
+        if (vm == m_partitionedVm || chance(m_faults.readFailures)) {
+            schedule(randomDelay(1, 1500), [=, this] {
+                deliverResponse(vm, incarnation, [this](duty_lease &lease) {
                     lease.onReadFailed(m_now);
                 });
             });
             return;
         }
-        later(between(1, 40), [=, this] {
+        schedule(randomDelay(1, 40), [=, this] {
             const std::uint64_t end = m_log.size();
             const std::optional<lease_record> newest = m_log.empty() ? std::nullopt : std::optional(m_log.back());
-            later(between(1, 40), [=, this] {
-                answer(vm, incarnation, [=, this](duty_lease &lease) {
+            schedule(randomDelay(1, 40), [=, this] {
+                deliverResponse(vm, incarnation, [=, this](duty_lease &lease) {
                     lease.onRead(m_now, end, newest, end == 0 ? 0 : end - 1);
                 });
             });
@@ -239,42 +239,42 @@
     {
         const std::uint64_t incarnation = m_vms[vm].incarnation;
         const lease_record record = m_vms[vm].lease->nextRecord();
-        const std::uint64_t onlyAt = m_vms[vm].lease->end();
-        if (vm == m_cut) {
-            later(milliseconds(1500), [=, this] {
-                answer(vm, incarnation, [this](duty_lease &lease) {
+        const std::uint64_t expectedEnd = m_vms[vm].lease->end();
+        if (vm == m_partitionedVm) {
+            schedule(milliseconds(1500), [=, this] {
+                deliverResponse(vm, incarnation, [this](duty_lease &lease) {
                     lease.onAppendFailed(m_now, true);
                 });
             });
             return;
         }
-        if (chance(m_wrong.lateAppends)) {
-            later(between(1000, 6000), [=, this] {
-                if (m_log.size() == onlyAt) {
+        if (chance(m_faults.delayedAppends)) {
+            schedule(randomDelay(1000, 6000), [=, this] {
+                if (m_log.size() == expectedEnd) {
                     m_log.push_back(record);
                 }
             });
-            later(milliseconds(1500), [=, this] {
-                answer(vm, incarnation, [this](duty_lease &lease) {
+            schedule(milliseconds(1500), [=, this] {
+                deliverResponse(vm, incarnation, [this](duty_lease &lease) {
                     lease.onAppendFailed(m_now, true);
                 });
             });
             return;
         }
-        later(between(1, 40), [=, this] {
-            const bool fits = m_log.size() == onlyAt;
-            if (fits) {
+        schedule(randomDelay(1, 40), [=, this] {
+            const bool matches = m_log.size() == expectedEnd;
+            if (matches) {
                 m_log.push_back(record);
             }
-            const bool lost = chance(m_wrong.lostAnswers);
-            later(lost ? milliseconds(1500) : between(1, 40), [=, this] {
-                answer(vm, incarnation, [=, this](duty_lease &lease) {
+            const bool lost = chance(m_faults.lostResponses);
+            schedule(lost ? milliseconds(1500) : randomDelay(1, 40), [=, this] {
+                deliverResponse(vm, incarnation, [=, this](duty_lease &lease) {
                     if (lost) {
                         lease.onAppendFailed(m_now, true);
-                    } else if (fits) {
-                        lease.onAppended(m_now, onlyAt);
+                    } else if (matches) {
+                        lease.onAppended(m_now, expectedEnd);
                     } else {
-                        lease.onMoved(m_now);
+                        lease.onAppendConflict(m_now);
                     }
                 });
             });
@@ -282,22 +282,22 @@
     }
 
     std::mt19937 m_random;
-    troubles m_wrong;
+    fault_rates m_faults;
     instant m_now = start;
     std::map<int, vm_state> m_vms;
     std::uint64_t m_incarnations = 0;
     std::vector<lease_record> m_log;
     std::multimap<instant, std::function<void()>> m_due;
-    std::vector<made_order> m_orders;
-    int m_cut = -1; ///< VM that can't reach the log
+    std::vector<issued_order> m_orders;
+    int m_partitionedVm = -1; ///< VM that can't reach the log
 };
 
 /// No two VMs order within the turn time, nor under one fence; fences never go back.
-::testing::AssertionResult keepsTurns(const std::vector<made_order> &orders)
+::testing::AssertionResult respectsTurnTime(const std::vector<issued_order> &orders)
 {
     for (std::size_t at = 1; at < orders.size(); ++at) {
-        const made_order &before = orders[at - 1];
-        const made_order &after = orders[at];
+        const issued_order &before = orders[at - 1];
+        const issued_order &after = orders[at];
         if (after.fence < before.fence) {
             return ::testing::AssertionFailure() << "fence went back at order " << at;
         }
@@ -322,7 +322,7 @@
     world.run(seconds(2));
     ASSERT_FALSE(world.orders().empty());
     EXPECT_LE(world.orders().front().at - start, milliseconds(1300));
-    EXPECT_TRUE(keepsTurns(world.orders()));
+    EXPECT_TRUE(respectsTurnTime(world.orders()));
 }
 
 TEST(duty_lease, aDeadHolderIsReplacedWithinSevenSeconds)
@@ -334,15 +334,15 @@
     world.kill(first);
     const instant killedAt = world.now();
     world.run(seconds(8));
-    const made_order &last = world.orders().back();
+    const issued_order &last = world.orders().back();
     EXPECT_NE(last.vm, first);
-    for (const made_order &order : world.orders()) {
+    for (const issued_order &order : world.orders()) {
         if (order.vm != first) {
             EXPECT_LE(order.at - killedAt, seconds(7));
             break;
         }
     }
-    EXPECT_TRUE(keepsTurns(world.orders()));
+    EXPECT_TRUE(respectsTurnTime(world.orders()));
 }
 
 TEST(duty_lease, aReleaseShortensTheWait)
@@ -362,19 +362,19 @@
     EXPECT_LE(world.leaseOf(second).orderFrom() - releasedAt, turnTime + milliseconds(100));
 }
 
-TEST(duty_lease, aHolderWithoutTheLogStopsAtItsLeaseAndSaysSo)
+TEST(duty_lease, aHolderWithoutTheLogStopsAtLeaseExpiryAndRenounces)
 {
     lease_world world(4, {});
     world.run(seconds(3));
     const int holder = world.holder();
     ASSERT_GE(holder, 0);
-    world.cutFromLog(holder);
+    world.partitionFromLog(holder);
     const instant cutAt = world.now();
     world.run(seconds(8));
-    EXPECT_TRUE(keepsTurns(world.orders()));
+    EXPECT_TRUE(respectsTurnTime(world.orders()));
     instant last{};
     instant next = farFuture;
-    for (const made_order &order : world.orders()) {
+    for (const issued_order &order : world.orders()) {
         if (order.vm == holder) {
             last = order.at;
         } else {
@@ -386,21 +386,21 @@
     EXPECT_LE(next - last, turnTime + milliseconds(300));
 }
 
-RC_GTEST_PROP(duty_lease, keepsTurnsUnderTrouble, ())
+RC_GTEST_PROP(duty_lease, respectsTurnTimeUnderFaults, ())
 {
-    troubles wrong;
-    wrong.lostAnswers = *rc::gen::element(0.0, 0.1, 0.35);
-    wrong.lateAppends = *rc::gen::element(0.0, 0.1, 0.35);
-    wrong.refusals = *rc::gen::element(0.0, 0.3);
-    wrong.freezes = *rc::gen::element(0.0, 0.002, 0.01);
-    wrong.restarts = *rc::gen::element(0.0, 0.001);
-    wrong.unheard = *rc::gen::element(0.0, 0.5, 1.0);
-    lease_world world(*rc::gen::arbitrary<unsigned>(), wrong);
+    fault_rates faults;
+    faults.lostResponses = *rc::gen::element(0.0, 0.1, 0.35);
+    faults.delayedAppends = *rc::gen::element(0.0, 0.1, 0.35);
+    faults.readFailures = *rc::gen::element(0.0, 0.3);
+    faults.freezes = *rc::gen::element(0.0, 0.002, 0.01);
+    faults.restarts = *rc::gen::element(0.0, 0.001);
+    faults.lostDigests = *rc::gen::element(0.0, 0.5, 1.0);
+    lease_world world(*rc::gen::arbitrary<unsigned>(), faults);
     world.run(seconds(40));
-    RC_ASSERT(keepsTurns(world.orders()));
-    world.stopTroubles();
+    RC_ASSERT(respectsTurnTime(world.orders()));
+    world.stopFaults();
     world.run(seconds(20));
-    RC_ASSERT(keepsTurns(world.orders()));
+    RC_ASSERT(respectsTurnTime(world.orders()));
     RC_ASSERT(world.holder() >= 0);
     RC_ASSERT(world.orders().back().at > world.now() - seconds(1));
 }
--- a/packages/gateway/unittests/gateway_test.cpp
+++ b/packages/gateway/unittests/gateway_test.cpp
@@ -136,13 +136,13 @@
     /// What the platform's list does once it shows a target.
     void list(const std::string &id)
     {
-        listed_upstream target;
+        target_listing target;
         target.id = target_id(id);
         target.service = service_id("s");
         target.address = {m_target.address().address().to_string(), m_target.address().port()};
         target.domain = domain_id("d");
         m_gateway.pool().list(loopNow(), target);
-        m_gateway.pump();
+        m_gateway.dispatchQueued();
     }
 
     void runFor(milliseconds length)
@@ -213,7 +213,7 @@
 {
     configure(objective, longTimeout);
     list("t1");
-    m_gateway.stopBy(planStop(loopNow(), milliseconds(20), longTimeout));
+    m_gateway.setStopPlan(planStop(loopNow(), milliseconds(20), longTimeout));
     passTime(milliseconds(40));
     ask();
     runFor(settled);
@@ -225,7 +225,7 @@
 {
     configure(objective, longTimeout);
     list("t1");
-    m_gateway.stopBy(planStop(loopNow(), longTimeout, longTimeout));
+    m_gateway.setStopPlan(planStop(loopNow(), longTimeout, longTimeout));
     ask();
     runUntil([this] {
         return !m_atTarget.empty();
@@ -237,7 +237,7 @@
 {
     configure(objective, longTimeout);
     ask();
-    m_gateway.stopBy(planStop(loopNow(), milliseconds(2500), milliseconds(2500)));
+    m_gateway.setStopPlan(planStop(loopNow(), milliseconds(2500), milliseconds(2500)));
     passTime(milliseconds(700));
     list("t1");
     runFor(settled);
@@ -255,7 +255,7 @@
         return !m_atTarget.empty();
     });
     ASSERT_EQ(m_atTarget.size(), 1U);
-    m_gateway.stopBy(planStop(loopNow(), milliseconds(1000), milliseconds(1000)));
+    m_gateway.setStopPlan(planStop(loopNow(), milliseconds(1000), milliseconds(1000)));
     header_list headers;
     headers.add("X-Id", "1");
     headers.add("X-Not-Run", "1");
--- a/packages/gateway/unittests/loss_account_test.cpp
+++ b/packages/gateway/unittests/loss_summary_test.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Decision logs read back: endings by cause, with or without what a collector put before each line.
-#include "fuchsialoom/gateway/loss_account.h"
+#include "fuchsialoom/gateway/loss_summary.h"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
     return endingOf(record.value()).value();
 }
 
-TEST(loss_account, readsLinesWithAPrefix)
+TEST(loss_summary, readsLinesWithAPrefix)
 {
     const std::optional<log_record> record = log_record::parse("  12.5 vm-1 time=1700 mono=5 vm=vm-1 event=sent request=r1 waited-ms=30");
     ASSERT_TRUE(record);
@@ -26,7 +26,7 @@
     EXPECT_FALSE(log_record::parse("time=5 but nothing more"));
 }
 
-TEST(loss_account, tellsEndingsApart)
+TEST(loss_summary, distinguishesEndings)
 {
     const std::string objective = " objective-ms=400 gap-objective-ms=300";
     EXPECT_EQ(endingOfLine("result=answered first-ms=80 gap-ms=90 waited-ms=3" + objective), request_ending::OnTime);
@@ -39,16 +39,16 @@
     EXPECT_EQ(endingOfLine("result=failed reason=broken"), request_ending::Failed);
 }
 
-TEST(loss_account, countsByRouteAndCause)
+TEST(loss_summary, countsByRouteAndCause)
 {
-    loss_account account;
+    loss_summary summary;
     for (const char *line : {"time=1 event=done route=chat result=refused reason=queue-full",
                              "time=2 event=done route=chat result=refused reason=queue-full",
                              "time=3 event=done route=chat result=answered reason=stream first-ms=1",
                              "time=4 event=sent route=chat"}) {
-        account.add(log_record::parse(line).value());
+        summary.add(log_record::parse(line).value());
     }
-    EXPECT_EQ(account.toText(),
+    EXPECT_EQ(summary.toText(),
               "route=chat ending=refused reason=queue-full requests=2 of=3\n"
               "route=chat ending=on-time reason=stream requests=1 of=3\n");
 }
--- a/packages/gateway/unittests/prompt_reading_test.cpp
+++ b/packages/gateway/unittests/prompt_reading_test.cpp
@@ -22,21 +22,21 @@
 constexpr std::size_t engineCount = 4;
 constexpr double tokensPerMs = 38.1; ///< that an engine reads
 
-struct waiting_prompt
+struct queued_prompt
 {
     std::size_t vm = 0;
     std::uint32_t tokens = 0;
     instant arrivedAt;
 };
 
-struct reading_prompt
+struct active_prompt
 {
     std::size_t vm = 0;
     std::uint32_t tokens = 0;
     double left = 0;
 };
 
-struct reading_result
+struct simulation_result
 {
     double longestPauseMs = 0; ///< that the prompts at one engine take
     double longPauses = 0; ///< share of the time at which an engine has more than 300 ms to read
@@ -44,18 +44,18 @@
 };
 
 /// Pools of all VMs before common engines, moved on by the millisecond.
-class reading_world
+class prefill_simulation
 {
 public:
-    /// \p noteEvery: VMs hear of each other's requests so often.
-    explicit reading_world(int noteEvery)
-        : m_noteEvery(noteEvery)
+    /// \p gossipIntervalMs: VMs hear of each other's requests so often.
+    explicit prefill_simulation(int gossipIntervalMs)
+        : m_gossipIntervalMs(gossipIntervalMs)
         , m_reading(engineCount)
     {
         for (std::size_t vm = 0; vm < vmCount; ++vm) {
             m_pools.emplace_back(domain_id("d"));
             for (std::size_t engine = 0; engine < engineCount; ++engine) {
-                listed_upstream made;
+                target_listing made;
                 made.id = engineAt(engine);
                 made.service = service;
                 made.domain = domain_id("d");
@@ -67,15 +67,15 @@
         }
     }
 
-    reading_result run(int milliseconds)
+    simulation_result run(int milliseconds)
     {
         for (int ms = 0; ms < milliseconds; ++ms) {
             m_now = start + std::chrono::milliseconds(ms);
             arrive();
             send();
             read();
-            if (ms % m_noteEvery == 0) {
-                tellPeers();
+            if (ms % m_gossipIntervalMs == 0) {
+                gossip();
             }
         }
         m_result.longPauses /= static_cast<double>(milliseconds) * engineCount;
@@ -104,7 +104,7 @@
 
     void send()
     {
-        std::erase_if(m_waiting, [this](const waiting_prompt &one) {
+        std::erase_if(m_waiting, [this](const queued_prompt &one) {
             target_query query{service, model, {}, one.tokens, nullptr};
             const target_choice choice = m_pools[one.vm].choose(m_now, query, m_random());
             if (!choice.target) {
@@ -123,9 +123,9 @@
     void read()
     {
         for (std::size_t engine = 0; engine < engineCount; ++engine) {
-            std::deque<reading_prompt> &prompts = m_reading[engine];
+            std::deque<active_prompt> &prompts = m_reading[engine];
             double total = 0;
-            for (const reading_prompt &one : prompts) {
+            for (const active_prompt &one : prompts) {
                 total += one.left;
             }
             m_result.longestPauseMs = std::max(m_result.longestPauseMs, total / tokensPerMs);
@@ -144,10 +144,10 @@
         }
     }
 
-    void tellPeers()
+    void gossip()
     {
         for (std::size_t vm = 0; vm < vmCount; ++vm) {
-            const flight_counts changed = m_pools[vm].takeChangedFlights();
+            const in_flight_counts changed = m_pools[vm].takeChangedFlights();
             for (std::size_t other = 0; other < vmCount; ++other) {
                 if (other != vm) {
                     m_pools[other].changePeerFlights(m_now, vm_id("v" + std::to_string(vm)), changed);
@@ -156,14 +156,14 @@
         }
     }
 
-    int m_noteEvery;
+    int m_gossipIntervalMs;
     std::deque<target_pool> m_pools; ///< pools stay where they are
-    std::vector<std::deque<reading_prompt>> m_reading;
-    std::vector<waiting_prompt> m_waiting;
+    std::vector<std::deque<active_prompt>> m_reading;
+    std::vector<queued_prompt> m_waiting;
     std::mt19937 m_random{20261203};
     instant m_now = start;
     std::size_t m_sent = 0;
-    reading_result m_result;
+    simulation_result m_result;
 };
 
 } // namespace
@@ -172,8 +172,8 @@
 /// other's requests each 150 ms.
 TEST(prompt_reading, streamsSeldomPauseLongWhenVmsNoteWhatTheySend)
 {
-    const reading_result noted = reading_world(5).run(60000);
-    const reading_result late = reading_world(150).run(60000);
+    const simulation_result noted = prefill_simulation(5).run(60000);
+    const simulation_result late = prefill_simulation(150).run(60000);
     EXPECT_LT(noted.longPauses, 0.004);
     EXPECT_GT(late.longPauses, 3 * noted.longPauses);
     EXPECT_LT(noted.longestPauseMs, 500);
@@ -184,7 +184,7 @@
 TEST(prompt_reading, theLargestPromptIsServed)
 {
     target_pool pool{domain_id("d")};
-    listed_upstream made;
+    target_listing made;
     made.id = target_id("e");
     made.service = service;
     made.slots = 32;
--- a/packages/gateway/unittests/residency_plan_test.cpp
+++ b/packages/gateway/unittests/residency_plan_test.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// The placement that demand asks for, where engines are few and where demand moves.
-#include "fuchsialoom/gateway/residency_duty.h"
+#include "fuchsialoom/gateway/residency_controller.h"
 
 #include <gtest/gtest.h>
 
@@ -37,7 +37,7 @@
     void makeEngines(int count)
     {
         for (int engine = 0; engine < count; ++engine) {
-            listed_upstream made;
+            target_listing made;
             made.id = target_id("e" + std::to_string(10 + engine));
             made.service = service;
             made.isEngine = true;
@@ -66,14 +66,14 @@
         }
         m_view.setMemory(1.2);
         for (int step = 0; step <= 40; ++step) {
-            m_view.tell(start + milliseconds(100) * step, vm_id("a"), entries);
+            m_view.setDemand(start + milliseconds(100) * step, vm_id("a"), entries);
             m_view.advance(start + milliseconds(100) * step);
         }
     }
 
     residency_plan plan(const std::map<model_id, double> &unserved = {})
     {
-        return planResidency(start + seconds(4), service, m_traits, m_pool, m_keeper, m_view, unserved);
+        return planServiceResidency(start + seconds(4), service, m_traits, m_pool, m_reconciler, m_view, unserved);
     }
 
     static std::size_t wantedCopies(const residency_plan &plan, const model_id &model)
@@ -90,20 +90,20 @@
     decision_log m_log{STDERR_FILENO, "test"}; ///< never flushed
     engine_traits m_traits;
     target_pool m_pool{domain_id("d")};
-    residency_keeper m_keeper{{}, m_log};
+    residency_reconciler m_reconciler{{}, m_log};
     demand_view m_view;
 };
 
 } // namespace
 
-TEST_F(residency_plan_test, aBusyModelGetsCopiesWherePlacesAreFree)
+TEST_F(residency_plan_test, busyModelGetsCopiesInFreeMemory)
 {
     makeModels(34);
     makeEngines(18);
     ask({{0, 100}});
     const residency_plan made = plan();
     EXPECT_GE(wantedCopies(made, modelAt(0)), 4U);
-    EXPECT_TRUE(made.yielding.empty());
+    EXPECT_TRUE(made.evictable.empty());
     for (int model = 0; model < 34; ++model) {
         EXPECT_GE(wantedCopies(made, modelAt(model)), 1U);
     }
@@ -111,7 +111,7 @@
 
 /// Eleven engines have 33 places for 34 models. One copy each left the model that 142 requests are at with
 /// one engine of 32 places.
-TEST_F(residency_plan_test, quietModelsYieldToABusyOneWherePlacesAreFew)
+TEST_F(residency_plan_test, busyModelReplacesQuietOnesIfMemoryIsScarce)
 {
     makeModels(34);
     makeEngines(11);
@@ -119,13 +119,13 @@
     const residency_plan made = plan();
     EXPECT_GE(wantedCopies(made, modelAt(0)), 4U);
     EXPECT_GE(wantedCopies(made, modelAt(1)), 2U);
-    EXPECT_FALSE(made.yielding.empty());
-    EXPECT_FALSE(made.yielding.contains(modelAt(0)));
+    EXPECT_FALSE(made.evictable.empty());
+    EXPECT_FALSE(made.evictable.contains(modelAt(0)));
     ASSERT_FALSE(made.wanted.loads.empty());
     EXPECT_EQ(made.wanted.loads.front().model, modelAt(0));
 }
 
-TEST_F(residency_plan_test, aModelThatWaitsLongGetsItsTurn)
+TEST_F(residency_plan_test, longWaitingModelGetsCopy)
 {
     makeModels(34);
     makeEngines(11);
--- /dev/null
+++ b/packages/gateway/unittests/residency_reconciler_test.cpp
@@ -0,0 +1,614 @@
+/// \file
+/// Orders to engines that lose answers, carry orders out late, restart, and report what was a while ago.
+#include "fuchsialoom/gateway/residency_reconciler.h"
+
+#include <gtest/gtest.h>
+#include <rapidcheck/gtest.h>
+
+#include <functional>
+#include <random>
+
+#include <unistd.h>
+
+namespace fuchsialoom
+{
+
+namespace
+{
+
+constexpr instant start = instant(std::chrono::seconds(1000));
+const service_id service("models");
+
+/// An engine with its own rules of memory. It counts every order that it could not have held.
+struct fake_engine
+{
+    double megabytes = 220;
+    std::uint32_t adapterSlots = 3;
+    std::uint64_t orderCount = 0;
+    std::map<model_id, std::set<adapter_id>> held;
+    std::set<std::pair<model_id, adapter_id>> draining; ///< unloads that wait for runs
+    std::set<std::pair<model_id, adapter_id>> inUse; ///< adapters that requests use
+    std::optional<residency_order> inProgress;
+    instant doneAt{};
+    int overloads = 0;
+    std::deque<std::pair<instant, engine_report>> reportHistory; ///< for reports that lag
+
+    double usedMegabytes(const std::map<model_id, double> &sizes, double adapterSize) const
+    {
+        double sum = 0;
+        for (const auto &[model, adapters] : held) {
+            sum += sizes.at(model) + adapterSize * static_cast<double>(adapters.size());
+        }
+        return sum;
+    }
+    std::size_t adapters() const
+    {
+        std::size_t count = draining.size();
+        for (const auto &[model, ofModel] : held) {
+            count += ofModel.size();
+        }
+        return count;
+    }
+};
+
+/// A keeper before some engines, moved on in steps of 10 ms.
+class reconciler_fixture
+{
+public:
+    static constexpr double modelSize = 70;
+    static constexpr double adapterSize = 1;
+
+    reconciler_fixture(unsigned seed, int engines, double lost, double late)
+        : m_random(seed)
+        , m_lossProbability(lost)
+        , m_delayProbability(late)
+        , m_log(STDERR_FILENO, "test")
+        , m_pool(domain_id("d"))
+        , m_reconciler({seconds(5), 1.0}, m_log)
+    {
+        engine_traits traits;
+        traits.slots = 8;
+        traits.megabytes = 220;
+        traits.adapterSlots = 3;
+        traits.loadsPerSecond = 10;
+        for (int model = 0; model < 6; ++model) {
+            served_model made;
+            made.model = modelAt(model);
+            made.megabytes = modelSize;
+            made.loadSeconds = 0.5;
+            made.adapters = 8;
+            made.adapterMegabytes = adapterSize;
+            traits.models.push_back(made);
+            m_sizes[made.model] = modelSize;
+        }
+        m_reconciler.setTraits(service, traits);
+        for (int engine = 0; engine < engines; ++engine) {
+            m_engines[target_id("e" + std::to_string(engine))];
+        }
+    }
+
+    static model_id modelAt(int index)
+    {
+        return model_id("m" + std::to_string(index));
+    }
+
+    fake_engine &engine(int index)
+    {
+        return m_engines.at(target_id("e" + std::to_string(index)));
+    }
+    residency_reconciler &reconciler()
+    {
+        return m_reconciler;
+    }
+    instant now() const
+    {
+        return m_now;
+    }
+    void setUnloadTime(milliseconds time)
+    {
+        m_unloadTime = time;
+    }
+    /// News that a model is gone, since the start.
+    int unloadAnnouncements() const
+    {
+        return m_unloadAnnouncements;
+    }
+    int overloads() const
+    {
+        int count = 0;
+        for (const auto &[id, one] : m_engines) {
+            count += one.overloads;
+        }
+        return count;
+    }
+    int copiesOf(const model_id &model) const
+    {
+        int count = 0;
+        for (const auto &[id, one] : m_engines) {
+            count += one.held.contains(model) ? 1 : 0;
+        }
+        return count;
+    }
+
+    void run(
+        milliseconds length,
+        const std::function<void()> &each = [] {})
+    {
+        const instant end = m_now + length;
+        while (m_now < end) {
+            m_now += milliseconds(10);
+            runDueEvents();
+            for (auto &[id, one] : m_engines) {
+                completeWork(one);
+                one.reportHistory.emplace_back(m_now, reportOf(one));
+                while (one.reportHistory.size() > 21) {
+                    one.reportHistory.pop_front();
+                }
+            }
+            listEngines();
+            each();
+            step();
+        }
+    }
+
+    /// The engine's process ends and starts anew, empty, under another id.
+    void restart(int index, const std::string &newId)
+    {
+        const target_id old("e" + std::to_string(index));
+        m_engines.erase(old);
+        m_pool.unlist(old);
+        m_engines[target_id(newId)];
+    }
+
+    residency_plan planOf(const std::map<int, std::vector<int>> &models)
+    {
+        residency_plan plan;
+        for (const auto &[engine, wanted] : models) {
+            const target_id id("e" + std::to_string(engine));
+            wanted_target target{id, {}, {}};
+            for (const int model : wanted) {
+                target.models.push_back({modelAt(model), version_id("newest"), 70});
+                if (!m_engines.at(id).held.contains(modelAt(model))) {
+                    plan.wanted.loads.push_back({id, modelAt(model), version_id("newest"), {}, 70, move_cause::Demand});
+                }
+            }
+            plan.wanted.targets.push_back(std::move(target));
+        }
+        return plan;
+    }
+
+private:
+    bool withProbability(double share)
+    {
+        return std::uniform_real_distribution<double>(0, 1)(m_random) < share;
+    }
+
+    void schedule(milliseconds wait, std::function<void()> event)
+    {
+        m_due.emplace(m_now + wait, std::move(event));
+    }
+
+    void runDueEvents()
+    {
+        while (!m_due.empty() && m_due.begin()->first <= m_now) {
+            const auto event = std::move(m_due.begin()->second);
+            m_due.erase(m_due.begin());
+            event();
+        }
+    }
+
+    static engine_report reportOf(const fake_engine &one)
+    {
+        engine_report report;
+        report.orderCount = one.orderCount;
+        report.busy = one.inProgress.has_value();
+        for (const auto &[model, adapters] : one.held) {
+            if (!one.inProgress || one.inProgress->model != model || !one.inProgress->load) {
+                report.models.push_back({model, adapters});
+            }
+        }
+        return report;
+    }
+
+    void completeWork(fake_engine &one)
+    {
+        if (one.inProgress && m_now >= one.doneAt) {
+            if (!one.inProgress->load) {
+                one.held.erase(one.inProgress->model);
+            }
+            one.inProgress.reset();
+        }
+    }
+
+    order_result accept(fake_engine &one, const residency_order &order)
+    {
+        if (order.expected != one.orderCount || (one.inProgress && order.adapter.empty())) {
+            return order_result::Conflict;
+        }
+        return order.adapter.empty() ? acceptModelOrder(one, order) : acceptAdapterOrder(one, order);
+    }
+
+    order_result acceptModelOrder(fake_engine &one, const residency_order &order)
+    {
+        if (one.held.contains(order.model) == order.load) {
+            return order_result::AlreadyApplied;
+        }
+        one.orderCount += 1;
+        if (order.load) {
+            one.overloads += one.usedMegabytes(m_sizes, adapterSize) + modelSize > one.megabytes ? 1 : 0;
+            one.held[order.model];
+        }
+        one.inProgress = order;
+        one.doneAt = m_now + (order.load ? milliseconds(500) : m_unloadTime);
+        return order_result::Accepted;
+    }
+
+    order_result acceptAdapterOrder(fake_engine &one, const residency_order &order)
+    {
+        const auto held = one.held.find(order.model);
+        if (held == one.held.end()) {
+            return order_result::Refused;
+        }
+        const std::pair<model_id, adapter_id> key(order.model, order.adapter);
+        if (held->second.contains(order.adapter) == order.load) {
+            return order_result::AlreadyApplied;
+        }
+        one.orderCount += 1;
+        if (order.load) {
+            one.overloads += one.adapters() + 1 > one.adapterSlots ? 1 : 0;
+            held->second.insert(order.adapter);
+            return order_result::Accepted;
+        }
+        held->second.erase(order.adapter);
+        if (!one.inUse.contains(key)) {
+            return order_result::AlreadyApplied;
+        }
+        one.draining.insert(key);
+        fake_engine *engine = &one;
+        schedule(milliseconds(2500), [engine, key] {
+            engine->draining.erase(key);
+        });
+        return order_result::Accepted;
+    }
+
+    void listEngines()
+    {
+        for (const auto &[id, one] : m_engines) {
+            if (m_pool.find(id) == nullptr) {
+                target_listing listed;
+                listed.id = id;
+                listed.service = service;
+                listed.slots = 8;
+                listed.isEngine = true;
+                m_pool.list(m_now, listed);
+            }
+        }
+    }
+
+    void step()
+    {
+        const residency_actions actions = m_reconciler.step(m_now, m_pool);
+        for (const target_id &target : actions.reports) {
+            schedule(milliseconds(10), [this, target] {
+                const auto found = m_engines.find(target);
+                if (found == m_engines.end()) {
+                    m_reconciler.onReportFailed(m_now, target);
+                } else {
+                    m_reconciler.onReport(m_now, target, found->second.reportHistory.front().second);
+                }
+            });
+        }
+        for (const residency_change &news : actions.news) {
+            m_unloadAnnouncements += news.adapter.empty() && !news.present ? 1 : 0;
+        }
+        for (const residency_order &order : actions.orders) {
+            send(order);
+        }
+    }
+
+    void send(const residency_order &order)
+    {
+        const bool lost = withProbability(m_lossProbability);
+        const bool late = withProbability(m_delayProbability);
+        const milliseconds wait(late ? 2000 + static_cast<int>(m_random() % 10000) : 10);
+        schedule(wait, [this, order, lost, late] {
+            const auto found = m_engines.find(order.target);
+            const order_result result = found == m_engines.end() ? order_result::Refused : accept(found->second, order);
+            if (!lost && !late) {
+                m_reconciler.onOrdered(m_now, order, result);
+            }
+        });
+        if (lost || late) {
+            schedule(milliseconds(700), [this, order] {
+                m_reconciler.onOrdered(m_now, order, order_result::Unknown);
+            });
+        }
+    }
+
+    std::mt19937 m_random;
+    double m_lossProbability;
+    double m_delayProbability;
+    decision_log m_log; ///< never flushed: its lines are of no interest here
+    instant m_now = start;
+    target_pool m_pool;
+    residency_reconciler m_reconciler;
+    std::map<target_id, fake_engine> m_engines;
+    std::map<model_id, double> m_sizes;
+    milliseconds m_unloadTime{1000};
+    int m_unloadAnnouncements = 0;
+    std::multimap<instant, std::function<void()>> m_due;
+};
+
+adapter_request adapterWant(int model, int adapter)
+{
+    return {service, reconciler_fixture::modelAt(model), adapter_id("a" + std::to_string(adapter))};
+}
+
+} // namespace
+
+TEST(residency_reconciler, loadsRequestedAdapterWithin50Ms)
+{
+    reconciler_fixture fixture(1, 2, 0, 0);
+    fixture.engine(1).held[reconciler_fixture::modelAt(0)];
+    fixture.run(milliseconds(300));
+    fixture.reconciler().want(fixture.now(), adapterWant(0, 1));
+    fixture.run(milliseconds(50));
+    EXPECT_TRUE(fixture.engine(1).held.at(reconciler_fixture::modelAt(0)).contains(adapter_id("a1")));
+}
+
+/// An engine answers the unload of an adapter that requests use before it is gone, and it takes up its
+/// place until then.
+TEST(residency_reconciler, drainingAdapterKeepsItsSlot)
+{
+    reconciler_fixture fixture(2, 1, 0, 0);
+    const model_id model = reconciler_fixture::modelAt(0);
+    fake_engine &engine = fixture.engine(0);
+    engine.held[model] = {adapter_id("a1"), adapter_id("a2"), adapter_id("a3")};
+    engine.inUse = {{model, adapter_id("a1")}, {model, adapter_id("a2")}, {model, adapter_id("a3")}};
+    for (int adapter = 4; adapter < 8; ++adapter) {
+        fixture.run(milliseconds(700), [&fixture, adapter] {
+            fixture.reconciler().want(fixture.now(), adapterWant(0, adapter));
+        });
+    }
+    EXPECT_EQ(fixture.overloads(), 0);
+}
+
+TEST(residency_reconciler, unloadsOnlyModelsWithAnotherCopy)
+{
+    reconciler_fixture fixture(3, 2, 0, 0);
+    fixture.engine(0).held = {{reconciler_fixture::modelAt(0), {}}, {reconciler_fixture::modelAt(1), {}}, {reconciler_fixture::modelAt(2), {}}};
+    fixture.engine(1).held = {{reconciler_fixture::modelAt(2), {}}};
+    fixture.run(milliseconds(300));
+    fixture.reconciler().setPlan(service, fixture.planOf({{0, {3}}, {1, {2}}}));
+    fixture.run(seconds(10));
+    // m0 and m1 are nowhere else; m2 made way.
+    EXPECT_TRUE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(0)));
+    EXPECT_TRUE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(1)));
+    EXPECT_TRUE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(3)));
+    EXPECT_EQ(fixture.copiesOf(reconciler_fixture::modelAt(2)), 1);
+    EXPECT_EQ(fixture.overloads(), 0);
+}
+
+/// A plan that wants a model again before its unload is sent keeps it.
+TEST(residency_reconciler, laterPlanCancelsScheduledUnload)
+{
+    reconciler_fixture fixture(7, 2, 0, 0);
+    for (int model = 0; model < 3; ++model) {
+        fixture.engine(0).held[reconciler_fixture::modelAt(model)];
+        fixture.engine(1).held[reconciler_fixture::modelAt(model)];
+    }
+    fixture.run(milliseconds(300));
+    fixture.reconciler().setPlan(service, fixture.planOf({{0, {1, 2, 3}}, {1, {0, 1, 2}}}));
+    fixture.run(milliseconds(50));
+    fixture.reconciler().setPlan(service, fixture.planOf({{0, {0, 1, 2}}, {1, {0, 1, 2}}}));
+    fixture.run(seconds(3));
+    EXPECT_TRUE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(0)));
+    EXPECT_FALSE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(3)));
+}
+
+/// What was loaded counts as fresh for as long as its load took.
+TEST(residency_reconciler, modelIsRecentlyLoadedForItsLoadTime)
+{
+    reconciler_fixture fixture(8, 1, 0, 0);
+    fixture.engine(0).held[reconciler_fixture::modelAt(0)];
+    fixture.run(milliseconds(300));
+    fixture.reconciler().setPlan(service, fixture.planOf({{0, {0, 3}}}));
+    fixture.run(milliseconds(300));
+    const target_id engine("e0");
+    EXPECT_EQ(fixture.reconciler().recentlyLoadedAt(fixture.now(), engine), std::set<model_id>{reconciler_fixture::modelAt(3)}) << "on its way";
+    fixture.run(milliseconds(700));
+    EXPECT_TRUE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(3)));
+    EXPECT_EQ(fixture.reconciler().recentlyLoadedAt(fixture.now(), engine), std::set<model_id>{reconciler_fixture::modelAt(3)});
+    fixture.run(seconds(3));
+    EXPECT_TRUE(fixture.reconciler().recentlyLoadedAt(fixture.now(), engine).empty());
+}
+
+/// An unload waits for runs that last 4 s and more; requests sent there meanwhile are refused.
+TEST(residency_reconciler, longUnloadIsAnnouncedRepeatedly)
+{
+    reconciler_fixture fixture(6, 2, 0, 0);
+    for (int model = 0; model < 3; ++model) {
+        fixture.engine(0).held[reconciler_fixture::modelAt(model)];
+        fixture.engine(1).held[reconciler_fixture::modelAt(model)];
+    }
+    fixture.setUnloadTime(milliseconds(5000));
+    fixture.run(milliseconds(300));
+    fixture.reconciler().setPlan(service, fixture.planOf({{0, {1, 2, 3}}, {1, {0, 1, 2}}}));
+    fixture.run(seconds(5));
+    EXPECT_GE(fixture.unloadAnnouncements(), 4);
+}
+
+TEST(residency_reconciler, lastCopyIsUnloadedOnlyIfEvictable)
+{
+    reconciler_fixture fixture(5, 1, 0, 0);
+    fixture.engine(0).held = {{reconciler_fixture::modelAt(0), {}}, {reconciler_fixture::modelAt(1), {}}, {reconciler_fixture::modelAt(2), {}}};
+    fixture.run(milliseconds(300));
+    residency_plan plan = fixture.planOf({{0, {1, 2, 3}}});
+    fixture.reconciler().setPlan(service, plan);
+    fixture.run(seconds(4));
+    EXPECT_TRUE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(0)));
+    plan.evictable = {reconciler_fixture::modelAt(0)};
+    fixture.reconciler().setPlan(service, plan);
+    fixture.run(seconds(4));
+    EXPECT_FALSE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(0)));
+    EXPECT_TRUE(fixture.engine(0).held.contains(reconciler_fixture::modelAt(3)));
+}
+
+TEST(residency_reconciler, respectsStoreRate)
+{
+    reconciler_fixture fixture(4, 12, 0, 0);
+    fixture.run(milliseconds(300));
+    std::map<int, std::vector<int>> wanted;
+    for (int engine = 0; engine < 12; ++engine) {
+        wanted[engine] = {0, 1, 2};
+    }
+    fixture.reconciler().setPlan(service, fixture.planOf(wanted));
+    fixture.run(seconds(1));
+    // Ten a second of half a second each are five at once.
+    EXPECT_LE(fixture.reconciler().orders(), 15U);
+    EXPECT_GE(fixture.reconciler().orders(), 5U);
+}
+
+/// A holder that used up the store's rate, and its successor a turn later, began 11 loads in 5 s where 10 are allowed.
+TEST(residency_reconciler, newHolderWaitsForStoreWindow)
+{
+    reconciler_fixture fixture(4, 12, 0, 0);
+    fixture.run(milliseconds(300));
+    fixture.reconciler().reset(fixture.now());
+    std::map<int, std::vector<int>> wanted;
+    for (int engine = 0; engine < 12; ++engine) {
+        wanted[engine] = {0, 1, 2};
+    }
+    fixture.reconciler().setPlan(service, fixture.planOf(wanted));
+    fixture.run(milliseconds(1900));
+    EXPECT_EQ(fixture.reconciler().orders(), 0U);
+    fixture.run(milliseconds(400));
+    EXPECT_GE(fixture.reconciler().orders(), 5U);
+}
+
+/// Loads without an answer may begin seconds later, in another window than the one in which they were ordered.
+TEST(residency_reconciler, unansweredLoadsCountUntilResolved)
+{
+    decision_log log{STDERR_FILENO, "test"};
+    target_pool pool{domain_id("d")};
+    residency_reconciler reconciler({seconds(5), 1.0}, log);
+    engine_traits traits;
+    traits.megabytes = 220;
+    traits.loadsPerSecond = 1;
+    traits.models.push_back({model_id("m0"), 70, 9, 0, 0, 0, 0});
+    reconciler.setTraits(service, traits);
+    instant now(seconds(1000));
+    residency_plan plan;
+    for (int engine = 0; engine < 12; ++engine) {
+        const target_id id("e" + std::to_string(10 + engine));
+        pool.list(now, {id, service, {"10.0.0.1", 80}, domain_id("d"), 8, false, true, {}});
+        plan.wanted.targets.push_back({id, {{model_id("m0"), version_id("newest"), 70}}, {}});
+        plan.wanted.loads.push_back({id, model_id("m0"), version_id("newest"), {}, 70, move_cause::Demand});
+    }
+    reconciler.step(now, pool);
+    for (const auto &[id, target] : pool.targets()) {
+        reconciler.onReport(now, id, {});
+    }
+    reconciler.setPlan(service, plan);
+    const auto dropAnswers = [&] {
+        std::size_t orders = 0;
+        for (const residency_order &order : reconciler.step(now, pool).orders) {
+            reconciler.onOrdered(now, order, order_result::Unknown);
+            orders += 1;
+        }
+        return orders;
+    };
+    EXPECT_EQ(dropAnswers(), 5U) << "the store's rate over its window";
+    for (int step = 0; step < 60; ++step) {
+        now += milliseconds(200);
+        EXPECT_LE(dropAnswers(), 5U) << "the same ones again";
+    }
+    EXPECT_EQ(reconciler.orders(), 5U);
+}
+
+/// Two minutes' worth of changing plans and wants before four engines.
+/// \return what went wrong, or nothing.
+/// \p busy: models whose adapters are fetched ahead.
+static std::string runRandomPlans(double lost, double late, unsigned seed, const std::set<model_id> &busy = {})
+{
+    reconciler_fixture fixture(seed, 4, lost, late);
+    for (int model = 0; model < 6; ++model) {
+        fixture.engine(model % 4).held[reconciler_fixture::modelAt(model)];
+    }
+    std::mt19937 random(seed);
+    for (int round = 0; round < 12; ++round) {
+        std::map<int, std::vector<int>> wanted;
+        for (int engine = 0; engine < 4; ++engine) {
+            const int first = static_cast<int>(random() % 6);
+            wanted[engine] = {first, (first + 1) % 6, (first + 2) % 6};
+        }
+        residency_plan plan = fixture.planOf(wanted);
+        plan.busy = busy;
+        fixture.reconciler().setPlan(service, plan);
+        fixture.run(seconds(2), [&fixture, &random] {
+            if (random() % 5 == 0) {
+                fixture.reconciler().want(fixture.now(), adapterWant(static_cast<int>(random() % 6), 1 + static_cast<int>(random() % 8)));
+            }
+        });
+        for (int model = 0; model < 6; ++model) {
+            if (fixture.copiesOf(reconciler_fixture::modelAt(model)) == 0) {
+                return "no copy of a model is left";
+            }
+        }
+    }
+    return fixture.overloads() == 0 ? "" : "an engine was ordered more than it holds";
+}
+
+/// Whatever is lost or late, no engine is ordered more than it can hold, and no model's last copy goes.
+RC_GTEST_PROP(residency_reconciler, neverOvercommits, ())
+{
+    const double lost = *rc::gen::element(0.0, 0.3);
+    const double late = *rc::gen::element(0.0, 0.35);
+    RC_ASSERT(runRandomPlans(lost, late, *rc::gen::arbitrary<unsigned>()) == "");
+}
+
+RC_GTEST_PROP(residency_reconciler, neverOvercommitsWithPrefetching, ())
+{
+    const double lost = *rc::gen::element(0.0, 0.3);
+    const double late = *rc::gen::element(0.0, 0.35);
+    const std::set<model_id> busy{reconciler_fixture::modelAt(0), reconciler_fixture::modelAt(3), reconciler_fixture::modelAt(4)};
+    RC_ASSERT(runRandomPlans(lost, late, *rc::gen::arbitrary<unsigned>(), busy) == "");
+}
+
+/// Three engines of three places hold the first six of eight adapters of the busy model, two each, and keep a place
+/// for what a request may name; none of the other model's.
+TEST(residency_reconciler, prefetchesAdaptersOfBusyModels)
+{
+    reconciler_fixture fixture(7, 3, 0, 0);
+    for (int engine = 0; engine < 3; ++engine) {
+        fixture.engine(engine).held = {{reconciler_fixture::modelAt(0), {}}, {reconciler_fixture::modelAt(1), {}}};
+    }
+    fixture.run(milliseconds(300));
+    residency_plan plan = fixture.planOf({{0, {0, 1}}, {1, {0, 1}}, {2, {0, 1}}});
+    plan.busy = {reconciler_fixture::modelAt(0)};
+    fixture.reconciler().setPlan(service, plan);
+    fixture.run(seconds(2));
+    std::set<adapter_id> prefetched;
+    for (int engine = 0; engine < 3; ++engine) {
+        const std::set<adapter_id> &held = fixture.engine(engine).held.at(reconciler_fixture::modelAt(0));
+        EXPECT_EQ(held.size(), 2U);
+        prefetched.insert(held.begin(), held.end());
+        EXPECT_TRUE(fixture.engine(engine).held.at(reconciler_fixture::modelAt(1)).empty());
+    }
+    EXPECT_EQ(prefetched.size(), 6U);
+    EXPECT_EQ(fixture.overloads(), 0);
+}
+
+/// A model that is being unloaded takes its adapters' places until it is gone.
+TEST(residency_reconciler, regressionAdapterSlotsDuringUnload)
+{
+    EXPECT_EQ(runRandomPlans(0, 0.35, 0), "");
+}
+
+/// A report from before a conflict showed a copy that an order without an answer had unloaded.
+TEST(residency_reconciler, regressionReportOlderThanConflict)
+{
+    EXPECT_EQ(runRandomPlans(0.3, 0, 14894084), "");
+}
+
+} // namespace fuchsialoom
--- a/packages/gateway/unittests/retry_rules_test.cpp
+++ b/packages/gateway/unittests/retry_rules_test.cpp
@@ -10,11 +10,11 @@
 
 static constexpr instant start = instant(std::chrono::seconds(1000));
 
-static attempt_history history(bool repeatable, std::uint32_t sentTo, std::uint32_t attempts, bool mayHaveRun = false)
+static attempt_history history(bool repeatable, std::uint32_t targetsTried, std::uint32_t attempts, bool mayHaveRun = false)
 {
     attempt_history made;
     made.repeatable = repeatable;
-    made.sentTo = sentTo;
+    made.targetsTried = targetsTried;
     made.attempts = attempts;
     made.mayHaveRun = mayHaveRun;
     return made;
@@ -22,24 +22,24 @@
 
 TEST(retry_rules, whatWasNeverSentGoesElsewhere)
 {
-    EXPECT_EQ(afterAttempt(attempt_outcome::NotSent, history(false, 0, 1), false), retry_step::TryElsewhere);
+    EXPECT_EQ(nextStep(attempt_outcome::NotSent, history(false, 0, 1), false), retry_step::TryElsewhere);
     attempt_history tired = history(false, 0, 1);
-    tired.unsentTries = 4;
-    EXPECT_EQ(afterAttempt(attempt_outcome::NotSent, tired, true), retry_step::Refuse);
+    tired.connectFailures = 4;
+    EXPECT_EQ(nextStep(attempt_outcome::NotSent, tired, true), retry_step::Refuse);
 }
 
 TEST(retry_rules, whatDidNotRunGoesElsewhereWithinItsAttempts)
 {
-    EXPECT_EQ(afterAttempt(attempt_outcome::NotRun, history(false, 1, 2), true), retry_step::TryElsewhere);
-    EXPECT_EQ(afterAttempt(attempt_outcome::NotRun, history(false, 1, 1), true), retry_step::Refuse);
-    EXPECT_EQ(afterAttempt(attempt_outcome::NotRun, history(false, 1, 2), false), retry_step::Refuse);
+    EXPECT_EQ(nextStep(attempt_outcome::NotRun, history(false, 1, 2), true), retry_step::TryElsewhere);
+    EXPECT_EQ(nextStep(attempt_outcome::NotRun, history(false, 1, 1), true), retry_step::Refuse);
+    EXPECT_EQ(nextStep(attempt_outcome::NotRun, history(false, 1, 2), false), retry_step::Refuse);
 }
 
 TEST(retry_rules, aTargetsOwnFailureIsPassedOnUnlessTheRequestMayRunAgain)
 {
-    EXPECT_EQ(afterAttempt(attempt_outcome::Failed, history(false, 1, 2, true), true), retry_step::PassOn);
-    EXPECT_EQ(afterAttempt(attempt_outcome::Failed, history(true, 1, 2, true), true), retry_step::TryElsewhere);
-    EXPECT_EQ(afterAttempt(attempt_outcome::Failed, history(true, 2, 2, true), true), retry_step::PassOn);
+    EXPECT_EQ(nextStep(attempt_outcome::Failed, history(false, 1, 2, true), true), retry_step::PassOn);
+    EXPECT_EQ(nextStep(attempt_outcome::Failed, history(true, 1, 2, true), true), retry_step::TryElsewhere);
+    EXPECT_EQ(nextStep(attempt_outcome::Failed, history(true, 2, 2, true), true), retry_step::PassOn);
 }
 
 /// "Not run" is told only when no attempt can have run, and what may not be repeated is sent on only then.
@@ -47,15 +47,15 @@
 {
     attempt_history made;
     made.repeatable = *rc::gen::arbitrary<bool>();
-    made.sentTo = *rc::gen::inRange<std::uint32_t>(0, 4);
+    made.targetsTried = *rc::gen::inRange<std::uint32_t>(0, 4);
     made.attempts = *rc::gen::inRange<std::uint32_t>(1, 4);
-    made.unsentTries = *rc::gen::inRange<std::uint32_t>(0, 6);
+    made.connectFailures = *rc::gen::inRange<std::uint32_t>(0, 6);
     const auto outcome = *rc::gen::element(
         attempt_outcome::NotSent, attempt_outcome::NotRun, attempt_outcome::Failed, attempt_outcome::Broken, attempt_outcome::Silent);
     const bool ran = outcome != attempt_outcome::NotSent && outcome != attempt_outcome::NotRun;
     const bool earlier = made.repeatable && *rc::gen::arbitrary<bool>();
     made.mayHaveRun = ran || earlier;
-    const retry_step step = afterAttempt(outcome, made, *rc::gen::arbitrary<bool>());
+    const retry_step step = nextStep(outcome, made, *rc::gen::arbitrary<bool>());
     if (made.mayHaveRun) {
         RC_ASSERT(step != retry_step::Refuse);
     }
@@ -63,42 +63,42 @@
         RC_ASSERT(step != retry_step::TryElsewhere);
     }
     if (step == retry_step::TryElsewhere && outcome != attempt_outcome::NotSent) {
-        RC_ASSERT(made.sentTo < made.attempts);
+        RC_ASSERT(made.targetsTried < made.attempts);
     }
 }
 
-TEST(shared_budget, theVmsTogetherKeepTheLimit)
+TEST(shared_retry_budget, theVmsTogetherKeepTheLimit)
 {
     static constexpr int vms = 9;
     static constexpr double ratio = 0.2;
     static constexpr double slack = 58;
-    std::vector<shared_budget> budgets(vms);
-    for (shared_budget &budget : budgets) {
+    std::vector<shared_retry_budget> budgets(vms);
+    for (shared_retry_budget &budget : budgets) {
         budget.setLimits({ratio, seconds(10), slack});
-        budget.setVms(vms);
+        budget.setLiveVmCount(vms);
     }
     std::deque<instant> requests;
-    std::deque<instant> repeats;
+    std::deque<instant> retries;
     // Every request of every VM wants to be repeated at once, for a minute.
     for (int step = 0; step < 60 * 20; ++step) {
         const instant now = start + milliseconds(50) * step;
-        for (shared_budget &budget : budgets) {
+        for (shared_retry_budget &budget : budgets) {
             budget.countRequest(now);
             requests.push_back(now);
             if (budget.allows(now)) {
-                budget.countRepeat(now);
-                repeats.push_back(now);
+                budget.countRetry(now);
+                retries.push_back(now);
             }
         }
         std::erase_if(requests, [now](instant at) {
             return now - at > seconds(10);
         });
-        std::erase_if(repeats, [now](instant at) {
+        std::erase_if(retries, [now](instant at) {
             return now - at > seconds(10);
         });
-        ASSERT_LE(static_cast<double>(repeats.size()), ratio * static_cast<double>(requests.size()) + slack);
+        ASSERT_LE(static_cast<double>(retries.size()), ratio * static_cast<double>(requests.size()) + slack);
     }
-    EXPECT_GT(repeats.size(), 100U);
+    EXPECT_GT(retries.size(), 100U);
 }
 
 } // namespace fuchsialoom
--- a/packages/gateway/unittests/target_pool_test.cpp
+++ b/packages/gateway/unittests/target_pool_test.cpp
@@ -13,9 +13,9 @@
 static constexpr instant start = instant(std::chrono::seconds(1000));
 static const service_id service("s");
 
-static listed_upstream engineAt(const std::string &id, const std::string &domain, std::vector<held_model> models)
+static target_listing engineAt(const std::string &id, const std::string &domain, std::vector<held_model> models)
 {
-    listed_upstream made;
+    target_listing made;
     made.id = target_id(id);
     made.service = service;
     made.domain = domain_id(domain);
@@ -47,7 +47,7 @@
     target_pool m_pool{domain_id("here")};
 };
 
-TEST_F(target_pool_test, onlyWhereModelAndAdapterAre)
+TEST_F(target_pool_test, choosesOnlyTargetsWithModelAndAdapter)
 {
     EXPECT_EQ(choose("n"), "far");
     EXPECT_EQ(choose("m", "a1"), "near");
@@ -57,7 +57,7 @@
     EXPECT_EQ(m_verdict, pool_verdict::NotResident);
 }
 
-TEST_F(target_pool_test, peersRequestsTakePlacesToo)
+TEST_F(target_pool_test, peersRequestsUseSlotsToo)
 {
     m_pool.setPeerFlights(m_now, vm_id("peer"), {{target_id("near"), {4, 0}}});
     EXPECT_EQ(choose("m"), "far");
@@ -73,7 +73,7 @@
 
 TEST_F(target_pool_test, aTargetThatLeavesGetsNothing)
 {
-    listed_upstream leaving = engineAt("near", "here", {{model_id("m"), {}}});
+    target_listing leaving = engineAt("near", "here", {{model_id("m"), {}}});
     leaving.leaving = true;
     m_pool.list(m_now, leaving);
     for (int draw = 0; draw < 20; ++draw) {
@@ -84,7 +84,7 @@
     EXPECT_EQ(m_verdict, pool_verdict::NoTarget);
 }
 
-TEST_F(target_pool_test, neverTwiceWhereItWasTried)
+TEST_F(target_pool_test, excludesTriedTargets)
 {
     const std::set<target_id> tried{target_id("near")};
     EXPECT_EQ(choose("m", "", &tried), "far");
@@ -117,9 +117,9 @@
     EXPECT_EQ(choose("m"), "near");
 }
 
-TEST_F(target_pool_test, newsHoldsAgainstTheOlderEntry)
+TEST_F(target_pool_test, newsOverridesAnOlderEntry)
 {
-    m_pool.learn(m_now, {target_id("near"), model_id("k"), {}, true});
+    m_pool.addNews(m_now, {target_id("near"), model_id("k"), {}, true});
     EXPECT_EQ(choose("k"), "near");
     // The engine wrote its entry before the load was over.
     m_pool.list(m_now, engineAt("near", "here", {{model_id("m"), {}}}));
@@ -129,7 +129,7 @@
     EXPECT_EQ(choose("k"), "");
 }
 
-TEST_F(target_pool_test, aTargetsOwnWordThatItHoldsNothingCounts)
+TEST_F(target_pool_test, aModelThatTheTargetReportsAbsentIsNotUsed)
 {
     m_pool.noteAbsent(m_now, target_id("far"), model_id("n"), {});
     EXPECT_EQ(choose("n"), "");
@@ -159,11 +159,11 @@
 
 /// 60 VMs, calls of 15 ms: a peer tells of a send at once, but of its end up to a second later. Its word holds for as
 /// long as the call can last; after that the target has room again.
-TEST(target_pool_flights, aPeersWordOfAShortCallDoesNotOutliveIt)
+TEST(target_pool_flights, aPeersCountOfAShortCallExpires)
 {
     const instant start(std::chrono::seconds(1000));
     target_pool pool(domain_id("d"));
-    listed_upstream plain;
+    target_listing plain;
     plain.id = target_id("p1");
     plain.service = service_id("calls");
     plain.slots = 6;
@@ -180,11 +180,11 @@
 }
 
 /// Streams of engines last for seconds, and stand until their VM says otherwise.
-TEST(target_pool_flights, aPeersWordOfStreamsHolds)
+TEST(target_pool_flights, aPeersCountOfStreamsDoesNotExpire)
 {
     const instant start(std::chrono::seconds(1000));
     target_pool pool(domain_id("d"));
-    listed_upstream engine;
+    target_listing engine;
     engine.id = target_id("e1");
     engine.service = service_id("models");
     engine.slots = 6;
@@ -198,12 +198,12 @@
 }
 
 /// Digests, notes, silence, and targets that come and go in any order: the sum is always that of the latest words.
-RC_GTEST_PROP(target_pool_flights, sumsTheLatestWords, ())
+RC_GTEST_PROP(target_pool_flights, sumsTheLatestCounts, ())
 {
     std::mt19937 random(*rc::gen::inRange(1U, 1000000U));
     const instant start(std::chrono::seconds(1000));
     target_pool pool(domain_id("d"));
-    std::map<vm_id, flight_counts> words;
+    std::map<vm_id, in_flight_counts> latestCounts;
     const auto targetAt = [](unsigned number) {
         return target_id("e" + std::to_string(number));
     };
@@ -211,7 +211,7 @@
     for (int step = 0; step < 300; ++step) {
         now += milliseconds(random() % 20);
         const vm_id vm("vm" + std::to_string(random() % 4));
-        flight_counts counts;
+        in_flight_counts counts;
         for (unsigned number = 0; number < random() % 4; ++number) {
             counts[targetAt(random() % 5)] = {static_cast<std::uint32_t>(random() % 3), static_cast<std::uint32_t>(random() % 900)};
         }
@@ -220,32 +220,32 @@
             pool.unlist(targetAt(random() % 5));
             break;
         case 1: {
-            listed_upstream listed;
+            target_listing listed;
             listed.id = targetAt(random() % 5);
             pool.list(now, listed);
             break;
         }
         case 2:
             pool.setPeerFlights(now, vm, counts);
-            words[vm] = counts;
+            latestCounts[vm] = counts;
             break;
         case 3:
             now += seconds(3);
             pool.expirePeers(now);
-            words.clear();
+            latestCounts.clear();
             break;
         default:
             pool.changePeerFlights(now, vm, counts);
             for (const auto &[id, count] : counts) {
-                words[vm][id] = count;
+                latestCounts[vm][id] = count;
             }
             break;
         }
         for (const auto &[id, target] : pool.targets()) {
-            target_flights sum;
-            for (const auto &[peer, told] : words) {
-                const auto of = told.find(id);
-                sum += of == told.end() ? target_flights() : of->second;
+            target_in_flight sum;
+            for (const auto &[peer, reported] : latestCounts) {
+                const auto of = reported.find(id);
+                sum += of == reported.end() ? target_in_flight() : of->second;
             }
             RC_ASSERT(target.peers == sum);
         }
@@ -253,18 +253,18 @@
 }
 
 /// Entries that repeat what a target said before needn't be listed again: the list's word comes back by itself.
-TEST(target_pool_news, whatLapsesGivesWayToTheList)
+TEST(target_pool_news, expiredNewsRestoresTheListing)
 {
     constexpr instant start = instant(std::chrono::seconds(1000));
     target_pool pool{domain_id("a")};
-    listed_upstream engine;
+    target_listing engine;
     engine.id = target_id("e1");
     engine.service = service_id("s");
     engine.isEngine = true;
     engine.models = {{model_id("m1"), {}}};
     pool.list(start, engine);
     pool.noteAbsent(start, engine.id, model_id("m1"), {});
-    pool.learn(start + milliseconds(1000), {engine.id, model_id("m2"), {}, true});
+    pool.addNews(start + milliseconds(1000), {engine.id, model_id("m2"), {}, true});
     EXPECT_FALSE(pool.find(engine.id)->holds(model_id("m1"), {}));
     EXPECT_FALSE(pool.expireNews(start + milliseconds(500)));
     EXPECT_TRUE(pool.expireNews(start + milliseconds(3500)));
@@ -273,13 +273,13 @@
 }
 
 /// An engine that crashed has nothing in flight, so it would be everybody's first choice until its entry lapses.
-TEST_F(target_pool_test, whoseHostRefusesIsNotChosenUntilItHadTimeToStart)
+TEST_F(target_pool_test, aTargetWhoseHostRefusesIsNotChosenUntilItHadTimeToRestart)
 {
     EXPECT_EQ(choose("n"), "far");
-    m_pool.learn(m_now, {target_id("far"), {}, {}, false});
+    m_pool.addNews(m_now, {target_id("far"), {}, {}, false});
     EXPECT_EQ(choose("n"), "");
     EXPECT_FALSE(m_pool.find(target_id("far"))->takesNew());
-    m_pool.learn(m_now + milliseconds(900), {target_id("far"), {}, {}, false});
+    m_pool.addNews(m_now + milliseconds(900), {target_id("far"), {}, {}, false});
     m_now += milliseconds(1600);
     m_pool.expirePeers(m_now);
     EXPECT_EQ(choose("n"), "far") << "a word told again takes it out once";
--- a/packages/gateway/unittests/waiting_rules_test.cpp
+++ b/packages/gateway/unittests/waiting_rules_test.cpp
@@ -24,12 +24,12 @@
 
 TEST(waiting_rules, aStreamIsRefusedBeforeItsCallerLeaves)
 {
-    const waiting_bounds bounds = waitingBoundsOf(chatRoute(), start, milliseconds(12000));
+    const request_deadlines bounds = computeDeadlines(chatRoute(), start, milliseconds(12000));
     EXPECT_EQ(bounds.patience, start + milliseconds(12000));
     // Eight pauses of 300 ms are the longest that its caller waits for an event.
-    EXPECT_LT(bounds.queueUntil, start + milliseconds(2400));
-    EXPECT_GT(bounds.queueUntil, start + milliseconds(2000));
-    EXPECT_LT(bounds.objectiveUntil, start + milliseconds(400));
+    EXPECT_LT(bounds.queueDeadline, start + milliseconds(2400));
+    EXPECT_GT(bounds.queueDeadline, start + milliseconds(2000));
+    EXPECT_LT(bounds.objectiveDeadline, start + milliseconds(400));
 }
 
 TEST(waiting_rules, theOperatorsTimeoutHoldsWhereItIsShorter)
@@ -38,18 +38,18 @@
     plain.kind = request_kind::Idempotent;
     plain.timeout = milliseconds(2000);
     plain.objective = milliseconds(300);
-    const waiting_bounds bounds = waitingBoundsOf(plain, start, milliseconds(4000));
-    EXPECT_EQ(bounds.answerUntil, start + milliseconds(2000));
-    EXPECT_EQ(bounds.queueUntil, start + milliseconds(2000));
+    const request_deadlines bounds = computeDeadlines(plain, start, milliseconds(4000));
+    EXPECT_EQ(bounds.answerDeadline, start + milliseconds(2000));
+    EXPECT_EQ(bounds.queueDeadline, start + milliseconds(2000));
     plain.timeout = milliseconds(0);
-    EXPECT_EQ(waitingBoundsOf(plain, start, milliseconds(4000)).answerUntil, start + milliseconds(4000));
+    EXPECT_EQ(computeDeadlines(plain, start, milliseconds(4000)).answerDeadline, start + milliseconds(4000));
 }
 
 TEST(waiting_rules, whatIsOnTimeGoesBeforeWhatIsLate)
 {
-    EXPECT_LT(waitingPriority(0, false), waitingPriority(1, false));
-    EXPECT_LT(waitingPriority(2, false), waitingPriority(0, true));
-    EXPECT_LT(waitingPriority(0, true), waitingPriority(1, true));
+    EXPECT_LT(queuePriority(0, false), queuePriority(1, false));
+    EXPECT_LT(queuePriority(2, false), queuePriority(0, true));
+    EXPECT_LT(queuePriority(0, true), queuePriority(1, true));
 }
 
 namespace
@@ -69,7 +69,7 @@
     static constexpr int perSecond = 20;
     struct waiting
     {
-        waiting_bounds bounds;
+        request_deadlines bounds;
         bool late = false;
     };
     admission_queue queue;
@@ -82,8 +82,8 @@
         queued_request entry;
         entry.id = id;
         entry.lane.serves = "chat";
-        entry.priority = waitingPriority(1, one.late);
-        entry.deadline = one.bounds.queueUntil;
+        entry.priority = queuePriority(1, one.late);
+        entry.deadline = one.bounds.queueDeadline;
         return entry;
     };
     for (instant now = start; now < start + seconds(30); now += milliseconds(5)) {
@@ -91,11 +91,11 @@
         free = std::min(1.0, free + perSecond * 0.005);
         for (; due >= 1; due -= 1) {
             const request_id id(std::to_string(serial++));
-            requests[id] = {waitingBoundsOf(chatRoute(), now, milliseconds(12000))};
+            requests[id] = {computeDeadlines(chatRoute(), now, milliseconds(12000))};
             queue.push(entryOf(id, requests[id]));
         }
         for (auto &[id, one] : requests) {
-            if (demote && !one.late && now >= one.bounds.objectiveUntil) {
+            if (demote && !one.late && now >= one.bounds.objectiveDeadline) {
                 one.late = true;
                 queue.remove(id);
                 queue.push(entryOf(id, one));
@@ -103,7 +103,7 @@
         }
         for (; free >= 1 && queue.next({}); free -= 1) {
             const request_id id = queue.next({})->id;
-            (now < requests[id].bounds.objectiveUntil ? counts.onTime : counts.late) += 1;
+            (now < requests[id].bounds.objectiveDeadline ? counts.onTime : counts.late) += 1;
             queue.depart(now, id);
             requests.erase(id);
         }
--- a/tools/fuchsialoomctl/log_commands.cpp
+++ b/tools/fuchsialoomctl/log_commands.cpp
@@ -2,7 +2,7 @@
 /// Commands that read decision logs from files.
 #include "log_commands.h"
 
-#include "fuchsialoom/gateway/loss_account.h"
+#include "fuchsialoom/gateway/loss_summary.h"
 #include "fuchsialoom/support/errors.h"
 
 #include <algorithm>
@@ -35,7 +35,7 @@
     if (arguments.empty()) {
         throw error(error_kind::InvalidOption, "a file is missing; usage: losses FILE...");
     }
-    loss_account account;
+    loss_summary account;
     forEachRecord(arguments, [&account](const log_record &record, const std::string &) {
         account.add(record);
     });
