--- a/packages/fleet/include/fuchsialoom/fleet/fleet_node.h
+++ b/packages/fleet/include/fuchsialoom/fleet/fleet_node.h
@@ -54,10 +54,10 @@
     std::function<peer_digest()> makeDigest;
     std::function<in_flight_counts()> takeChangedInFlight; ///< this VM's own, since the last call
     /// In-flight counts reported by \p source. \p isFull: they replace all its earlier counts; else they update them.
-    std::function<void(const vm_id &source, const in_flight_counts &inFlight, bool isFull)> onFlights;
+    std::function<void(const vm_id &source, const in_flight_counts &inFlight, bool isFull)> onInFlightCounts;
     std::function<void(const vm_id &source)> onSourceRemoved; ///< its in-flight counts no longer apply
-    std::function<void(const vm_id &source, const std::vector<demand_entry> &demand)> onDemand;
-    std::function<void(const adapter_request &adapterRequest)> onWant; ///< requests at another VM are waiting for an adapter
+    std::function<void(const vm_id &source, const std::vector<demand_entry> &demand)> onDemandReport;
+    std::function<void(const adapter_request &adapterRequest)> onAdapterRequest; ///< requests at another VM are waiting for an adapter
     std::function<void(const residency_change &change)> onResidencyChange;
     std::function<void(milliseconds wait)> onHolderAnnounced; ///< another VM holds the duty and sends orders only after \p wait
     std::function<void(const renounced_fence &fence)> onRenounced;
@@ -96,7 +96,7 @@
     fleet_node(vm_record self, std::uint64_t incarnation, fleet_events events);
 
     /// Adds the record of a registered VM.
-    void know(instant now, vm_record record);
+    void addRecord(instant now, vm_record record);
     /// Adds the address of a possible VM whose record isn't known.
     void addSeed(instant now, const endpoint &address);
 
@@ -105,13 +105,13 @@
     /// \name Changes of this VM's state to send to others.
     /// @{
     /// This VM's in-flight counts changed.
-    void noteFlights(instant now);
+    void onInFlightChanged(instant now);
     /// Requests are waiting for an adapter.
-    void raiseWant(instant now, const adapter_request &adapterRequest);
+    void broadcastAdapterRequest(instant now, const adapter_request &adapterRequest);
     /// What is resident at targets changed.
-    void tellNews(instant now, const std::vector<residency_change> &residencyChanges);
+    void broadcastResidencyChanges(instant now, const std::vector<residency_change> &residencyChanges);
     /// Schedules an early digest, since something else in it changed that other VMs wait for.
-    void hasten(instant now);
+    void scheduleEarlyDigest(instant now);
     /// @}
 
     /// When advance() is due next.
--- a/packages/fleet/lib/fleet_node.cpp
+++ b/packages/fleet/lib/fleet_node.cpp
@@ -29,7 +29,7 @@
     m_membership.put(m_self);
 }
 
-void fleet_node::know(instant now, vm_record record)
+void fleet_node::addRecord(instant now, vm_record record)
 {
     if (m_membership.put(std::move(record))) {
         updateRole(now);
@@ -116,7 +116,7 @@
     } else {
         m_fleetInFlight.change(now, source, inFlight);
     }
-    m_events.onFlights(source, inFlight, isFull);
+    m_events.onInFlightCounts(source, inFlight, isFull);
     if (!m_members.empty()) {
         scheduleDelta(now);
     }
@@ -142,20 +142,20 @@
     member.demand = digest.demand;
     m_groupInFlight.set(now, vm, digest.inFlight);
     applyInFlight(now, vm, digest.inFlight, true);
-    m_events.onDemand(vm, digest.demand);
+    m_events.onDemandReport(vm, digest.demand);
     m_events.onConfigVersion(vm, digest.configVersion);
     updateHolder(now, digest.holder, true);
     if (digest.renounced) {
         m_events.onRenounced(*digest.renounced);
     }
     for (const adapter_request &adapterRequest : digest.adapterRequests) {
-        raiseWant(now, adapterRequest);
-        m_events.onWant(adapterRequest);
+        broadcastAdapterRequest(now, adapterRequest);
+        m_events.onAdapterRequest(adapterRequest);
     }
     applyResidencyChanges(now, digest.residencyChanges, true);
     if (isNew) {
         m_events.onChange(fleet_change::MemberJoined, vm);
-        hasten(now);
+        scheduleEarlyDigest(now);
     }
     updateLiveVms(now);
 }
@@ -176,18 +176,18 @@
     if (isNew || !peer.live) {
         m_events.onChange(fleet_change::RelayHeard, vm);
         if (isNew) {
-            hasten(now);
+            scheduleEarlyDigest(now);
         }
     }
     peer = {from, std::max<std::uint32_t>(1, digest.vms), now, now + pacing::suspectTimeout(digest.nextWithin), true};
     applyInFlight(now, vm, digest.inFlight, true);
-    m_events.onDemand(vm, digest.demand);
+    m_events.onDemandReport(vm, digest.demand);
     updateHolder(now, digest.holder, false);
     if (digest.renounced) {
         m_events.onRenounced(*digest.renounced);
     }
     for (const adapter_request &adapterRequest : digest.adapterRequests) {
-        m_events.onWant(adapterRequest);
+        m_events.onAdapterRequest(adapterRequest);
     }
     applyResidencyChanges(now, digest.residencyChanges, false);
     for (const endpoint &relay : digest.relays) {
@@ -218,9 +218,9 @@
     applyInFlight(now, vm, delta.changed, false);
     for (const adapter_request &adapterRequest : delta.adapterRequests) {
         if (isMember) {
-            raiseWant(now, adapterRequest);
+            broadcastAdapterRequest(now, adapterRequest);
         }
-        m_events.onWant(adapterRequest);
+        m_events.onAdapterRequest(adapterRequest);
     }
     applyResidencyChanges(now, delta.residencyChanges, isMember);
 }
@@ -253,7 +253,7 @@
         m_inFlightSource = relay;
     }
     if (m_inFlightSource == relay) {
-        m_events.onFlights(relay, others, message.isFull);
+        m_events.onInFlightCounts(relay, others, message.isFull);
     }
     if (message.isFull) {
         m_relaySelection.setLiveRelays(message.relays);
@@ -317,7 +317,7 @@
         for (const vm_id &source : sources) {
             removeSource(source);
         }
-        hasten(now);
+        scheduleEarlyDigest(now);
     }
     const vm_record *former = before && m_relaySelection.relay() != before ? m_membership.find(*before) : nullptr;
     if (former) {
@@ -325,7 +325,7 @@
     }
     if (m_relaySelection.relay() && m_relaySelection.relay() != before) {
         m_events.onChange(fleet_change::RelayChosen, *m_relaySelection.relay());
-        hasten(now);
+        scheduleEarlyDigest(now);
     }
 }
 
--- a/packages/fleet/lib/fleet_sending.cpp
+++ b/packages/fleet/lib/fleet_sending.cpp
@@ -26,7 +26,7 @@
     return {m_self.vm, m_incarnation, m_sequence};
 }
 
-void fleet_node::hasten(instant now)
+void fleet_node::scheduleEarlyDigest(instant now)
 {
     const instant soonest = m_lastDigestAt + pacing::digestInterval(receiverCount()) / 2;
     m_nextDigestAt = std::min(m_nextDigestAt, std::max(now + batchingDelay, soonest));
@@ -40,12 +40,12 @@
     }
 }
 
-void fleet_node::noteFlights(instant now)
+void fleet_node::onInFlightChanged(instant now)
 {
     scheduleDelta(now);
 }
 
-void fleet_node::raiseWant(instant now, const adapter_request &adapterRequest)
+void fleet_node::broadcastAdapterRequest(instant now, const adapter_request &adapterRequest)
 {
     const auto [found, isNew] = m_adapterRequests.insert_or_assign(adapterRequest, now);
     if (isNew) {
@@ -54,7 +54,7 @@
     }
 }
 
-void fleet_node::tellNews(instant now, const std::vector<residency_change> &residencyChanges)
+void fleet_node::broadcastResidencyChanges(instant now, const std::vector<residency_change> &residencyChanges)
 {
     for (const residency_change &one : residencyChanges) {
         residency_change opposite = one;
@@ -200,7 +200,7 @@
     digest.nextWithin = pacing::digestInterval(receiverCount());
     digest.adapterRequests = keysOf(m_adapterRequests);
     digest.residencyChanges = keysOf(m_residencyChanges);
-    m_events.onDemand(m_self.vm, digest.demand);
+    m_events.onDemandReport(m_self.vm, digest.demand);
     m_groupInFlight.set(now, m_self.vm, digest.inFlight);
     m_fleetInFlight.set(now, m_self.vm, digest.inFlight);
     m_unsentAdapterRequests.clear();
@@ -267,10 +267,10 @@
     m_groupInFlight.change(now, m_self.vm, own);
     m_fleetInFlight.change(now, m_self.vm, own);
     in_flight_counts changed = m_fleetInFlight.takeChanged();
-    std::vector<residency_change> heardNews = std::exchange(m_unsentChangesForMembers, {});
-    if (!m_members.empty() && (!changed.empty() || !heardNews.empty() || !m_unsentChanges.empty())) {
+    std::vector<residency_change> changesForMembers = std::exchange(m_unsentChangesForMembers, {});
+    if (!m_members.empty() && (!changed.empty() || !changesForMembers.empty() || !m_unsentChanges.empty())) {
         fleet_outbox::outgoing_relay_update toMembers = makeRelayUpdate(now, false, std::move(changed));
-        toMembers.message.residencyChanges = std::move(heardNews);
+        toMembers.message.residencyChanges = std::move(changesForMembers);
         toMembers.message.residencyChanges.insert(toMembers.message.residencyChanges.end(), m_unsentChanges.begin(), m_unsentChanges.end());
         out.relayUpdates.push_back(std::move(toMembers));
     }
--- a/packages/fleet/lib/messages.cpp
+++ b/packages/fleet/lib/messages.cpp
@@ -192,7 +192,7 @@
     return holder_announcement{one.at(0).get<std::uint64_t>(), decodeTime(one.at(1), maxOrderWait)};
 }
 
-json encodeFlights(const in_flight_counts &inFlight)
+json encodeInFlight(const in_flight_counts &inFlight)
 {
     json list = json::array();
     for (const auto &[target, count] : inFlight) {
@@ -203,7 +203,7 @@
     return list;
 }
 
-in_flight_counts decodeFlights(const json &list)
+in_flight_counts decodeInFlight(const json &list)
 {
     in_flight_counts inFlight;
     for (std::size_t at = 0; at + 2 < list.size(); at += 3) {
@@ -225,7 +225,7 @@
     digest.leaving = read.next<bool>();
     digest.holder = decodeHolder(read.next());
     digest.renounced = decodeRenounced(read.next());
-    digest.inFlight = decodeFlights(read.next());
+    digest.inFlight = decodeInFlight(read.next());
     digest.demand = decodeList<demand_entry>(read.next(), decodeDemand);
     digest.adapterRequests = decodeList<adapter_request>(read.next(), decodeAdapterRequest);
     digest.residencyChanges = decodeList<residency_change>(read.next(), decodeResidencyChange);
@@ -240,7 +240,7 @@
     field_reader read(fields);
     delta_message delta;
     delta.origin = decodeOrigin(read.next());
-    delta.changed = decodeFlights(read.next());
+    delta.changed = decodeInFlight(read.next());
     delta.adapterRequests = decodeList<adapter_request>(read.next(), decodeAdapterRequest);
     delta.residencyChanges = decodeList<residency_change>(read.next(), decodeResidencyChange);
     return delta;
@@ -262,7 +262,7 @@
     message.relays = decodeList<vm_id>(read.next(), [](const json &one) {
         return vm_id(one.get<std::string>());
     });
-    message.inFlight = decodeFlights(read.next());
+    message.inFlight = decodeInFlight(read.next());
     return message;
 }
 
@@ -271,7 +271,7 @@
     field_reader read(fields);
     member_update message;
     message.message = decodeRelayWord(read.next().get_binary());
-    message.receiverInFlight = decodeFlights(read.next());
+    message.receiverInFlight = decodeInFlight(read.next());
     return message;
 }
 
@@ -295,7 +295,7 @@
                                digest.leaving,
                                encodeHolder(digest.holder),
                                encodeRenounced(digest.renounced),
-                               encodeFlights(digest.inFlight),
+                               encodeInFlight(digest.inFlight),
                                encodeList(digest.demand, encodeDemand),
                                encodeList(digest.adapterRequests, encodeAdapterRequest),
                                encodeList(digest.residencyChanges, encodeResidencyChange),
@@ -308,7 +308,7 @@
 {
     return toCbor(json::array({static_cast<int>(message_layout::Note),
                                encodeOrigin(delta.origin),
-                               encodeFlights(delta.changed),
+                               encodeInFlight(delta.changed),
                                encodeList(delta.adapterRequests, encodeAdapterRequest),
                                encodeList(delta.residencyChanges, encodeResidencyChange)}));
 }
@@ -328,13 +328,13 @@
                                           [](const vm_id &one) {
                                               return json(one.text());
                                           }),
-                               encodeFlights(message.inFlight)}));
+                               encodeInFlight(message.inFlight)}));
 }
 
 std::string encodeMemberUpdate(const std::string &encodedUpdate, const in_flight_counts &receiverInFlight)
 {
     const std::vector<std::uint8_t> bytes(encodedUpdate.begin(), encodedUpdate.end());
-    return toCbor(json::array({static_cast<int>(message_layout::Member), json::binary(bytes), encodeFlights(receiverInFlight)}));
+    return toCbor(json::array({static_cast<int>(message_layout::Member), json::binary(bytes), encodeInFlight(receiverInFlight)}));
 }
 
 std::optional<peer_datagram> decodeDatagram(std::string_view bytes)
--- a/packages/fleet/unittests/fleet_node_test.cpp
+++ b/packages/fleet/unittests/fleet_node_test.cpp
@@ -236,10 +236,10 @@
     fleet.at(holder).fence = 40;
     fleet.run(milliseconds(1000));
     const residency_change residencyChanges{target_id("e1"), model_id("m"), {}, true};
-    fleet.at(holder).node->tellNews(fleet.now(), {residencyChanges});
+    fleet.at(holder).node->broadcastResidencyChanges(fleet.now(), {residencyChanges});
     const adapter_request adapterRequest{service_id("s"), model_id("m"), adapter_id("a")};
     const std::size_t asker = fleet.size() - 1;
-    fleet.at(asker).node->raiseWant(fleet.now(), adapterRequest);
+    fleet.at(asker).node->broadcastAdapterRequest(fleet.now(), adapterRequest);
     fleet.run(milliseconds(100));
     for (std::size_t vm = 0; vm < fleet.size(); ++vm) {
         if (vm != holder) {
--- a/packages/fleet/unittests/simulated_fleet.cpp
+++ b/packages/fleet/unittests/simulated_fleet.cpp
@@ -43,7 +43,7 @@
         state.changed.clear();
         return changed;
     };
-    events.onFlights = [this, &state](const vm_id &source, const in_flight_counts &inFlight, bool isFull) {
+    events.onInFlightCounts = [this, &state](const vm_id &source, const in_flight_counts &inFlight, bool isFull) {
         if (isFull) {
             state.seen.set(m_now, source, inFlight);
         } else {
@@ -53,10 +53,10 @@
     events.onSourceRemoved = [&state](const vm_id &source) {
         state.seen.forget(source);
     };
-    events.onDemand = [&state](const vm_id &source, const std::vector<demand_entry> &demand) {
+    events.onDemandReport = [&state](const vm_id &source, const std::vector<demand_entry> &demand) {
         state.demand[source] = demand;
     };
-    events.onWant = [&state](const adapter_request &adapterRequest) {
+    events.onAdapterRequest = [&state](const adapter_request &adapterRequest) {
         state.adapterRequests.insert(adapterRequest);
     };
     events.onResidencyChange = [&state](const residency_change &residencyChanges) {
@@ -102,13 +102,13 @@
         }
         start(order[at]);
         for (std::size_t earlier = 0; earlier < at; ++earlier) {
-            m_vms[order[at]].node->know(m_now, m_vms[order[earlier]].record);
+            m_vms[order[at]].node->addRecord(m_now, m_vms[order[earlier]].record);
         }
     }
     run(milliseconds(100));
     for (vm_state &state : m_vms) {
         for (const vm_state &other : m_vms) {
-            state.node->know(m_now, other.record);
+            state.node->addRecord(m_now, other.record);
         }
     }
 }
@@ -117,7 +117,7 @@
 {
     start(vm);
     for (const vm_state &other : m_vms) {
-        m_vms[vm].node->know(m_now, other.record);
+        m_vms[vm].node->addRecord(m_now, other.record);
     }
 }
 
@@ -149,7 +149,7 @@
         state.own.erase(target);
     }
     state.changed.insert(target);
-    state.node->noteFlights(m_now);
+    state.node->onInFlightChanged(m_now);
 }
 
 void simulated_fleet::transmit(std::size_t from, const endpoint &to, const std::shared_ptr<const peer_datagram> &datagram)
--- a/packages/gateway/include/fuchsialoom/gateway/drain_rules.h
+++ b/packages/gateway/include/fuchsialoom/gateway/drain_rules.h
@@ -93,7 +93,7 @@
     }
 };
 
-/// Plan for a VM that was told to stop at \p heardAt: accepts requests for \p acceptFor and exits after \p runFor.
+/// Plan for a VM that received a stop signal at \p heardAt: accepts requests for \p acceptFor and exits after \p runFor.
 constexpr stop_plan planStop(instant heardAt, milliseconds acceptFor, milliseconds runFor)
 {
     return {heardAt + std::min(acceptFor, runFor), heardAt + runFor};
--- a/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
+++ b/packages/gateway/include/fuchsialoom/gateway/duty_lease.h
@@ -61,7 +61,7 @@
     std::uint64_t incarnation = 0;
     milliseconds lease{1500};
     milliseconds renewInterval{600};
-    milliseconds turnTime{3000}; ///< minimum time between orders of two VMs
+    milliseconds minHandoverTime{3000}; ///< minimum time between orders of two VMs
     milliseconds holderSilence{1000}; ///< initial value for setHolderSilence()
     milliseconds confirmDelay{900}; ///< between reading the log and claiming; a running holder renews in this time
 };
@@ -92,7 +92,7 @@
     void onAppendFailed(instant now, bool unknown);
 
     /// A peer reported that it holds the duty.
-    void onHolderHeard(instant now);
+    void onHolderReport(instant now);
 
     /// Sets the time without a report from a holder after which this VM tries to claim the duty.
     void setHolderSilence(milliseconds silence)
--- a/packages/gateway/include/fuchsialoom/gateway/gateway.h
+++ b/packages/gateway/include/fuchsialoom/gateway/gateway.h
@@ -141,7 +141,7 @@
     }
 
     /// Sets the callback for changes of this VM's in-flight requests, so that peers learn of them before their next choice.
-    void onFlights(std::function<void()> callback)
+    void onInFlightCounts(std::function<void()> callback)
     {
         m_onInFlightChanged = std::move(callback);
     }
--- a/packages/gateway/include/fuchsialoom/gateway/peer_transport.h
+++ b/packages/gateway/include/fuchsialoom/gateway/peer_transport.h
@@ -22,16 +22,16 @@
     void start();
 
     /// Adds a VM that registered.
-    void know(const vm_record &record);
+    void addRecord(const vm_record &record);
     /// Adds an address where a VM may be reachable whose record isn't known.
     void addSeed(const endpoint &address);
 
     /// \name Messages of this VM to its peers, sent within a few milliseconds.
     /// @{
-    void noteFlights();
-    void raiseWant(const adapter_request &want);
-    void tellNews(const std::vector<residency_change> &news);
-    void hasten();
+    void onInFlightChanged();
+    void broadcastAdapterRequest(const adapter_request &adapterRequest);
+    void broadcastResidencyChanges(const std::vector<residency_change> &residencyChanges);
+    void scheduleEarlyDigest();
     /// @}
 
     const fleet_node &fleet() const
--- a/packages/gateway/include/fuchsialoom/gateway/residency_controller.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_controller.h
@@ -24,7 +24,8 @@
     std::function<void(const lease_record &record, std::uint64_t onlyAt)> appendLease;
     std::function<void(const residency_order &order, std::uint64_t fence)> sendOrder;
     std::function<void(const target_id &target)> requestReport;
-    std::function<void(const std::vector<residency_change> &news)> tellNews; ///< broadcasts to all VMs, including this one
+    std::function<void(const std::vector<residency_change> &residencyChanges)>
+        broadcastResidencyChanges; ///< broadcasts to all VMs, including this one
     /// A clock that includes time in which the VM was suspended.
     std::function<instant()> boottimeClock;
 };
@@ -54,11 +55,11 @@
 
     /// \name Messages from the VMs, including this one.
     /// @{
-    void onDemand(const vm_id &vm, const std::vector<demand_entry> &demand);
-    void onWant(const adapter_request &want);
+    void onDemandReport(const vm_id &vm, const std::vector<demand_entry> &demand);
+    void onAdapterRequest(const adapter_request &adapterRequest);
     /// A VM announced that it holds the lease. \p wait: time until it may issue orders.
-    void onHolderHeard(milliseconds wait);
-    void onRenounced(const renounced_fence &word);
+    void onHolderReport(milliseconds wait);
+    void onRenounced(const renounced_fence &renouncedFence);
     /// @}
 
     /// \name Results of the host's calls. Instants are on the clock that includes suspension.
@@ -119,7 +120,7 @@
     instant m_nextPlanAt{};
     std::map<model_id, double> m_unserved; ///< requested models that no engine holds, with the streams that their waiting counts as
     instant m_unservedAt{};
-    duty_forecast m_sight; ///< when other lease holders were heard; on the event loop's clock
+    duty_forecast m_dutyForecast; ///< when other lease holders were heard; on the event loop's clock
 };
 
 /// Computes the placement of models on \p service's engines from the demand for each model. \p unserved: models that
--- a/packages/gateway/include/fuchsialoom/gateway/residency_reconciler.h
+++ b/packages/gateway/include/fuchsialoom/gateway/residency_reconciler.h
@@ -72,7 +72,7 @@
 {
     std::vector<residency_order> orders;
     std::vector<target_id> reports; ///< engines to request a report from
-    std::vector<residency_change> news; ///< to broadcast to all VMs
+    std::vector<residency_change> residencyChanges; ///< to broadcast to all VMs
 };
 
 /// The target state of a service's engines.
@@ -102,7 +102,7 @@
     void setTraits(const service_id &service, const engine_traits &traits);
 
     /// Records that requests wait for an adapter.
-    void requestAdapter(instant now, const adapter_request &want);
+    void requestAdapter(instant now, const adapter_request &adapterRequest);
     /// Records that requests named an adapter, which delays its eviction.
     void recordAdapterUse(instant now, const model_id &model, const adapter_id &adapter, std::uint32_t running = 0);
 
@@ -169,16 +169,16 @@
         instant unloadAt{};
     };
 
-    struct scheduled_news
+    struct scheduled_change
     {
         instant at{};
-        residency_change news;
+        residency_change residencyChange;
     };
 
     void trackListedEngines(const target_pool &pool);
     void issueOrder(instant now, engine_state &state, residency_order order, residency_actions &actions);
-    void serveAdapterWants(instant now, const target_pool &pool, residency_actions &actions);
-    bool serveAdapterWant(instant now, const target_pool &pool, const adapter_request &want, residency_actions &actions);
+    void serveAdapterRequests(instant now, const target_pool &pool, residency_actions &actions);
+    bool serveAdapterRequest(instant now, const target_pool &pool, const adapter_request &adapterRequest, residency_actions &actions);
     void prefetchAdapters(instant now, const target_pool &pool, residency_actions &actions);
     std::optional<adapter_key> leastReplicatedAdapter(const engine_state &state,
                                                       const engine_traits &traits,
@@ -205,12 +205,12 @@
     decision_log &m_log;
     std::map<service_id, engine_traits> m_traits;
     std::map<target_id, engine_state> m_engines;
-    std::map<adapter_request, instant> m_adapterWants; ///< with their expiry times
+    std::map<adapter_request, instant> m_adapterRequests; ///< with their expiry times
     std::map<adapter_key, adapter_use> m_adapterUses;
     std::map<service_id, residency_plan> m_plans;
     std::deque<instant> m_loadStarts; ///< of loads that may read from the weight store, oldest first
     instant m_storeLoadsFrom{}; ///< earliest time to order a load from the weight store
-    std::vector<scheduled_news> m_scheduledNews;
+    std::vector<scheduled_change> m_scheduledChanges;
     instant m_adapterMovesFrom{}; ///< earliest time to load or unload an adapter
     instant m_nextPrefetchAt{}; ///< earliest time of the next prefetch pass
     std::optional<instant> m_lastOrder;
--- a/packages/gateway/include/fuchsialoom/gateway/target_pool.h
+++ b/packages/gateway/include/fuchsialoom/gateway/target_pool.h
@@ -44,8 +44,8 @@
 
 struct pool_target
 {
-    target_listing listed; ///< with unexpired news applied
-    std::vector<held_model> listedModels; ///< as listed, without news
+    target_listing listed; ///< with unexpired residency changes applied
+    std::vector<held_model> listedModels; ///< as listed, without later residency changes
     target_key key; ///< key of the listed id
     target_in_flight own; ///< attempts of this VM
     target_in_flight peers; ///< sum of the latest counts of all peers
@@ -119,26 +119,26 @@
 
     /// \name Listings from the platform.
     /// @{
-    /// Adds or updates a target. \return whether its listing changed, with news applied.
+    /// Adds or updates a target. \return whether its listing changed, with unexpired residency changes applied.
     bool list(instant now, target_listing target);
     void unlist(const target_id &id);
     /// @}
 
-    /// Applies a peer's news of a target. It overrides the listing for a short time, as the listing may be older.
-    void addNews(instant now, const residency_change &news);
+    /// Applies a residency change from a peer. It overrides the listing for a short time, as the listing may be older.
+    void addResidencyChange(instant now, const residency_change &residencyChange);
 
     /// The target itself answered that it doesn't hold the model or adapter.
     void noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter);
 
     /// Replaces all counts of \p vm. They expire if the VM stays silent.
-    void setPeerFlights(instant now, const vm_id &vm, const in_flight_counts &counts);
+    void setPeerInFlight(instant now, const vm_id &vm, const in_flight_counts &counts);
     /// Updates the counts of \p vm that changed; a count may be zero.
-    void changePeerFlights(instant now, const vm_id &vm, const in_flight_counts &changed);
-    void forgetPeerFlights(const vm_id &vm);
+    void updatePeerInFlight(instant now, const vm_id &vm, const in_flight_counts &changed);
+    void removePeerInFlight(const vm_id &vm);
     /// Drops the counts of silent peers and ends the time for which targets are displaced or unreachable.
     void expirePeers(instant now);
-    /// Drops expired news and restores the listed models. \return whether any news expired.
-    bool expireNews(instant now);
+    /// Drops expired residency changes and restores the listed models. \return whether any expired.
+    bool expireResidencyChanges(instant now);
 
     /// Chooses the available target with the lowest score. \p draw is a random number that breaks ties.
     target_choice choose(instant now, const target_query &query, std::uint64_t draw);
@@ -164,7 +164,7 @@
     /// @}
 
     /// All requests that this VM has in flight, for a full digest.
-    in_flight_counts ownFlights() const;
+    in_flight_counts ownInFlight() const;
     /// Counts that changed since the last call, including those now zero.
     in_flight_counts takeChangedFlights();
 
@@ -181,14 +181,14 @@
     bool hasRoom(const service_id &service, const model_id &model) const;
 
 private:
-    struct held_news
+    struct unexpired_change
     {
-        residency_change news;
+        residency_change residencyChange;
         instant until{};
     };
 
-    void applyNews(instant now, pool_target &target);
-    void setHeld(pool_target &target, const residency_change &news);
+    void applyResidencyChanges(instant now, pool_target &target);
+    void setHeld(pool_target &target, const residency_change &residencyChange);
     double scoreOf(instant now, const pool_target &target, std::uint64_t draw) const;
     static std::uint32_t slotsOf(const pool_target &target);
     /// Requests in flight at \p target. For plain targets, excludes counts of peers too old to be still valid.
@@ -202,7 +202,7 @@
     in_flight_tracker m_peers;
     std::map<service_id, microseconds> m_runs; ///< moving average of run times by service; used for plain targets
     std::set<target_id> m_changedFlights; ///< targets whose own counts changed and weren't taken yet
-    std::map<target_id, std::vector<held_news>> m_news; ///< news that listings may not include yet; bounded by its expiry
+    std::map<target_id, std::vector<unexpired_change>> m_residencyChanges; ///< not yet in all listings; bounded by their expiry
 };
 
 } // namespace fuchsialoom
--- a/packages/gateway/lib/duty_lease.cpp
+++ b/packages/gateway/lib/duty_lease.cpp
@@ -29,9 +29,9 @@
 {
     if (now < m_orderFrom) {
         const auto toWait = std::chrono::duration_cast<milliseconds>(m_orderFrom - now);
-        return std::max(milliseconds(0), m_options.turnTime - toWait);
+        return std::max(milliseconds(0), m_options.minHandoverTime - toWait);
     }
-    return m_lastOrder ? std::chrono::duration_cast<milliseconds>(now - *m_lastOrder) : m_options.turnTime;
+    return m_lastOrder ? std::chrono::duration_cast<milliseconds>(now - *m_lastOrder) : m_options.minHandoverTime;
 }
 
 lease_action duty_lease::append(instant now, lease_record_kind kind)
@@ -119,9 +119,9 @@
     if (newest && !mine && isRenounced(*newest, newestOffset)) {
         orderFrom = std::max(now, m_renouncedOrderFrom);
     } else if (newest && newest->kind == lease_record_kind::Release) {
-        orderFrom = now + std::max(milliseconds(0), m_options.turnTime - newest->sinceLastOrder);
+        orderFrom = now + std::max(milliseconds(0), m_options.minHandoverTime - newest->sinceLastOrder);
     } else if (newest && !mine) {
-        orderFrom = now + m_options.lease + m_options.turnTime;
+        orderFrom = now + m_options.lease + m_options.minHandoverTime;
         m_nextAt = now + m_options.confirmDelay;
         m_observedFence = newest->kind == lease_record_kind::Claim ? newestOffset : newest->fence;
     }
@@ -179,7 +179,7 @@
     }
 }
 
-void duty_lease::onHolderHeard(instant now)
+void duty_lease::onHolderReport(instant now)
 {
     m_heardAt = now;
 }
@@ -190,7 +190,7 @@
         return;
     }
     m_renouncedFence = announcement.fence;
-    m_renouncedOrderFrom = now + std::max(milliseconds(0), m_options.turnTime - announcement.sinceLastOrder);
+    m_renouncedOrderFrom = now + std::max(milliseconds(0), m_options.minHandoverTime - announcement.sinceLastOrder);
     if (m_state == state::Watching) {
         m_heardAt = std::min(m_heardAt, now - m_options.holderSilence);
         if (m_observedFence == announcement.fence) {
--- a/packages/gateway/lib/loss_summary.cpp
+++ b/packages/gateway/lib/loss_summary.cpp
@@ -20,11 +20,11 @@
     line.remove_prefix(begin);
     log_record record;
     while (!line.empty()) {
-        const std::string_view word = line.substr(0, line.find(' '));
-        line.remove_prefix(std::min(line.size(), word.size() + 1));
-        const std::size_t equals = word.find('=');
+        const std::string_view field = line.substr(0, line.find(' '));
+        line.remove_prefix(std::min(line.size(), field.size() + 1));
+        const std::size_t equals = field.find('=');
         if (equals != std::string_view::npos) {
-            record.m_values.emplace(word.substr(0, equals), word.substr(equals + 1));
+            record.m_values.emplace(field.substr(0, equals), field.substr(equals + 1));
         }
     }
     return record.value("event").empty() ? std::nullopt : std::optional(std::move(record));
--- a/packages/gateway/lib/peer_transport.cpp
+++ b/packages/gateway/lib/peer_transport.cpp
@@ -47,39 +47,39 @@
     advance();
 }
 
-void peer_transport::know(const vm_record &record)
+void peer_transport::addRecord(const vm_record &record)
 {
-    m_fleet.know(loopNow(), record);
+    m_fleet.addRecord(loopNow(), record);
     armTimer();
 }
 
 void peer_transport::addSeed(const endpoint &address)
 {
     m_fleet.addSeed(loopNow(), address);
-    hasten();
+    scheduleEarlyDigest();
 }
 
-void peer_transport::noteFlights()
+void peer_transport::onInFlightChanged()
 {
-    m_fleet.noteFlights(loopNow());
+    m_fleet.onInFlightChanged(loopNow());
     armTimer();
 }
 
-void peer_transport::raiseWant(const adapter_request &want)
+void peer_transport::broadcastAdapterRequest(const adapter_request &adapterRequest)
 {
-    m_fleet.raiseWant(loopNow(), want);
+    m_fleet.broadcastAdapterRequest(loopNow(), adapterRequest);
     armTimer();
 }
 
-void peer_transport::tellNews(const std::vector<residency_change> &news)
+void peer_transport::broadcastResidencyChanges(const std::vector<residency_change> &residencyChanges)
 {
-    m_fleet.tellNews(loopNow(), news);
+    m_fleet.broadcastResidencyChanges(loopNow(), residencyChanges);
     armTimer();
 }
 
-void peer_transport::hasten()
+void peer_transport::scheduleEarlyDigest()
 {
-    m_fleet.hasten(loopNow());
+    m_fleet.scheduleEarlyDigest(loopNow());
     armTimer();
 }
 
--- a/packages/gateway/lib/residency_adapters.cpp
+++ b/packages/gateway/lib/residency_adapters.cpp
@@ -8,7 +8,7 @@
 {
 
 /// VMs repeat a request for an adapter while they need it, so it expires quickly.
-static constexpr milliseconds adapterWantLifetime{600};
+static constexpr milliseconds adapterRequestLifetime{600};
 /// An adapter requested or running within this time isn't evicted.
 static constexpr milliseconds adapterIdleTime{500};
 /// Interval of prefetch passes.
@@ -51,10 +51,10 @@
     return least;
 }
 
-void residency_reconciler::requestAdapter(instant now, const adapter_request &want)
+void residency_reconciler::requestAdapter(instant now, const adapter_request &adapterRequest)
 {
-    m_adapterWants[want] = now + adapterWantLifetime;
-    recordAdapterUse(now, want.model, want.adapter);
+    m_adapterRequests[adapterRequest] = now + adapterRequestLifetime;
+    recordAdapterUse(now, adapterRequest.model, adapterRequest.adapter);
 }
 
 void residency_reconciler::recordAdapterUse(instant now, const model_id &model, const adapter_id &adapter, std::uint32_t running)
@@ -66,9 +66,12 @@
     }
 }
 
-bool residency_reconciler::serveAdapterWant(instant now, const target_pool &pool, const adapter_request &want, residency_actions &actions)
+bool residency_reconciler::serveAdapterRequest(instant now,
+                                               const target_pool &pool,
+                                               const adapter_request &adapterRequest,
+                                               residency_actions &actions)
 {
-    const auto traits = m_traits.find(want.service);
+    const auto traits = m_traits.find(adapterRequest.service);
     if (traits == m_traits.end()) {
         return true;
     }
@@ -77,17 +80,17 @@
     double bestLoad = 0;
     for (auto &[id, state] : m_engines) {
         const pool_target *target = pool.find(id);
-        if (state.service != want.service || !target || !target->takesNew() || !state.reportValid
-            || !holdsModel(state.report.models, want.model)) {
+        if (state.service != adapterRequest.service || !target || !target->takesNew() || !state.reportValid
+            || !holdsModel(state.report.models, adapterRequest.model)) {
             continue;
         }
-        if (findModel(state.report.models, want.model)->adapters.contains(want.adapter)) {
+        if (findModel(state.report.models, adapterRequest.model)->adapters.contains(adapterRequest.adapter)) {
             return true;
         }
-        if (state.drainingAdapters.contains({want.model, want.adapter})) {
+        if (state.drainingAdapters.contains({adapterRequest.model, adapterRequest.adapter})) {
             continue;
         }
-        if (state.unanswered || state.pendingUnload || (state.inProgress && state.inProgress->model == want.model)) {
+        if (state.unanswered || state.pendingUnload || (state.inProgress && state.inProgress->model == adapterRequest.model)) {
             continue;
         }
         const bool full = adapterCount(state) >= traits->second.adapterSlots;
@@ -108,29 +111,29 @@
         if (!victim) {
             return false;
         }
-        actions.news.push_back({bestId, victim->first, victim->second, false});
+        actions.residencyChanges.push_back({bestId, victim->first, victim->second, false});
         issueOrder(now, *best, {bestId, target.listed.address, false, victim->first, victim->second, 0}, actions);
         return false;
     }
-    const served_model *model = traits->second.find(want.model);
+    const served_model *model = traits->second.find(adapterRequest.model);
     if (!model || usedMegabytes(*best, traits->second) + model->adapterMegabytes > traits->second.megabytes) {
         return false;
     }
-    issueOrder(now, *best, {bestId, target.listed.address, true, want.model, want.adapter, 0}, actions);
+    issueOrder(now, *best, {bestId, target.listed.address, true, adapterRequest.model, adapterRequest.adapter, 0}, actions);
     return true;
 }
 
-void residency_reconciler::serveAdapterWants(instant now, const target_pool &pool, residency_actions &actions)
+void residency_reconciler::serveAdapterRequests(instant now, const target_pool &pool, residency_actions &actions)
 {
-    std::erase_if(m_adapterWants, [now](const auto &entry) {
+    std::erase_if(m_adapterRequests, [now](const auto &entry) {
         return entry.second <= now;
     });
     if (now < m_adapterMovesFrom) {
         return;
     }
-    for (auto one = m_adapterWants.begin(); one != m_adapterWants.end();) {
-        if (serveAdapterWant(now, pool, one->first, actions)) {
-            one = m_adapterWants.erase(one);
+    for (auto one = m_adapterRequests.begin(); one != m_adapterRequests.end();) {
+        if (serveAdapterRequest(now, pool, one->first, actions)) {
+            one = m_adapterRequests.erase(one);
         } else {
             ++one;
         }
--- a/packages/gateway/lib/residency_controller.cpp
+++ b/packages/gateway/lib/residency_controller.cpp
@@ -187,8 +187,8 @@
         return;
     }
     const residency_actions actions = m_reconciler.step(loopNow(), m_gateway.pool());
-    if (!actions.news.empty()) {
-        m_callbacks.tellNews(actions.news);
+    if (!actions.residencyChanges.empty()) {
+        m_callbacks.broadcastResidencyChanges(actions.residencyChanges);
     }
     for (const target_id &target : actions.reports) {
         m_callbacks.requestReport(target);
@@ -212,7 +212,7 @@
     return !m_lease.isReleased();
 }
 
-void residency_controller::onDemand(const vm_id &vm, const std::vector<demand_entry> &demand)
+void residency_controller::onDemandReport(const vm_id &vm, const std::vector<demand_entry> &demand)
 {
     const instant now = loopNow();
     m_demand.setDemand(now, vm, demand);
@@ -223,23 +223,23 @@
     }
 }
 
-void residency_controller::onWant(const adapter_request &want)
+void residency_controller::onAdapterRequest(const adapter_request &adapterRequest)
 {
     if (m_mayOrder) {
-        m_reconciler.requestAdapter(loopNow(), want);
+        m_reconciler.requestAdapter(loopNow(), adapterRequest);
         step();
     }
 }
 
-void residency_controller::onHolderHeard(milliseconds wait)
+void residency_controller::onHolderReport(milliseconds wait)
 {
-    m_sight.noteHolder(loopNow(), wait);
-    m_lease.onHolderHeard(clock());
+    m_dutyForecast.noteHolder(loopNow(), wait);
+    m_lease.onHolderReport(clock());
 }
 
-void residency_controller::onRenounced(const renounced_fence &word)
+void residency_controller::onRenounced(const renounced_fence &renouncedFence)
 {
-    m_lease.onRenounced(clock(), word);
+    m_lease.onRenounced(clock(), renouncedFence);
     advanceLease();
 }
 
@@ -247,7 +247,7 @@
 {
     const instant now = loopNow();
     const auto toOwn = std::chrono::duration_cast<microseconds>(m_lease.orderFrom() - clock());
-    return m_sight.timeToOrders(now, fence() ? std::optional(now + toOwn) : std::nullopt);
+    return m_dutyForecast.timeToOrders(now, fence() ? std::optional(now + toOwn) : std::nullopt);
 }
 
 void residency_controller::onLeaseRead(std::uint64_t end, const std::optional<lease_record> &newest, std::uint64_t offset)
--- a/packages/gateway/lib/residency_reconciler.cpp
+++ b/packages/gateway/lib/residency_reconciler.cpp
@@ -33,9 +33,9 @@
     m_storeLoadsFrom = now + std::max(milliseconds(0), m_limits.window - minHandoverTime);
     m_loadStarts.clear();
     m_engines.clear();
-    m_adapterWants.clear();
+    m_adapterRequests.clear();
     m_plans.clear();
-    m_scheduledNews.clear();
+    m_scheduledChanges.clear();
 }
 
 void residency_reconciler::setTraits(const service_id &service, const engine_traits &traits)
@@ -213,7 +213,7 @@
         }
         state.pendingUnload = residency_order{id, pool.find(id)->listed.address, false, held.model, {}, 0};
         state.unloadAt = now + unloadDelay;
-        actions.news.push_back({id, held.model, {}, false});
+        actions.residencyChanges.push_back({id, held.model, {}, false});
         return true;
     }
     return false;
@@ -271,7 +271,7 @@
         // A later plan may place the model here again.
         if (!isResident || isPlanned(order.model, state, id) || !mayUnload(order.model, state.service, id, pool)) {
             if (state.reportValid && holdsModel(state.report.models, order.model)) {
-                actions.news.push_back({id, order.model, {}, true});
+                actions.residencyChanges.push_back({id, order.model, {}, true});
             }
             continue;
         }
@@ -298,7 +298,7 @@
         const bool unloads = state.inProgress && !state.inProgress->load;
         if (unloads && now - state.lastAnnouncedAt > reannounceInterval) {
             state.lastAnnouncedAt = now;
-            actions.news.push_back({id, state.inProgress->model, {}, false});
+            actions.residencyChanges.push_back({id, state.inProgress->model, {}, false});
         }
     }
 }
@@ -314,18 +314,18 @@
             actions.orders.push_back(*state.unanswered);
         }
     }
-    serveAdapterWants(now, pool, actions);
+    serveAdapterRequests(now, pool, actions);
     prefetchAdapters(now, pool, actions);
     startPendingUnloads(now, pool, actions);
     startPlannedLoads(now, pool, actions);
     requestReports(now, actions);
     reannounceUnloads(now, actions);
-    for (const scheduled_news &due : m_scheduledNews) {
+    for (const scheduled_change &due : m_scheduledChanges) {
         if (due.at <= now) {
-            actions.news.push_back(due.news);
+            actions.residencyChanges.push_back(due.residencyChange);
         }
     }
-    std::erase_if(m_scheduledNews, [now](const scheduled_news &due) {
+    std::erase_if(m_scheduledChanges, [now](const scheduled_change &due) {
         return due.at <= now;
     });
     return actions;
--- a/packages/gateway/lib/residency_reports.cpp
+++ b/packages/gateway/lib/residency_reports.cpp
@@ -88,7 +88,7 @@
                     .with("model", order.model)
                     .with("held", isHeld ? "yes" : "no")
                     .with("took-ms", duration));
-    m_scheduledNews.push_back({now, {id, order.model, {}, isHeld}});
+    m_scheduledChanges.push_back({now, {id, order.model, {}, isHeld}});
     std::erase_if(state.recentlyLoadedUntil, [now](const auto &one) {
         return now >= one.second;
     });
@@ -176,12 +176,12 @@
         state.drainingAdapters[{order.model, order.adapter}] = now;
     }
     if (!order.adapter.empty()) {
-        m_scheduledNews.push_back({now + (result == order_result::Accepted && order.load ? adapterLoadDelay : milliseconds(0)),
-                                   {order.target, order.model, order.adapter, order.load}});
+        m_scheduledChanges.push_back({now + (result == order_result::Accepted && order.load ? adapterLoadDelay : milliseconds(0)),
+                                      {order.target, order.model, order.adapter, order.load}});
         return;
     }
     if (result == order_result::AlreadyApplied) {
-        m_scheduledNews.push_back({now, {order.target, order.model, {}, order.load}});
+        m_scheduledChanges.push_back({now, {order.target, order.model, {}, order.load}});
         return;
     }
     state.report.busy = true;
--- a/packages/gateway/lib/target_pool.cpp
+++ b/packages/gateway/lib/target_pool.cpp
@@ -8,9 +8,9 @@
 namespace fuchsialoom
 {
 
-/// Time for which news of a target overrides its listing: a target writes its entry every 1.2 s, and readers see it up to
+/// Time for which a residency change of a target overrides its listing: a target writes its entry every 1.2 s, and readers see it up to
 /// 1 s later.
-static constexpr milliseconds newsOverrideTime{3000};
+static constexpr milliseconds residencyChangeOverrideTime{3000};
 /// A peer silent for this long counts as gone, and its requests in flight with it. Covers several digests.
 static constexpr milliseconds peerSilence{2000};
 /// If another process has the address of a listed target, the target's process has ended. Its entry expires within three
@@ -18,7 +18,7 @@
 /// in the plan with their former models for 3 s and more.
 static constexpr milliseconds displacementTime{10000};
 /// A target whose host refused a connection is tried again after this; the time doubles with each further refusal. It is
-/// longer than VMs repeat the news to each other, so that a repetition doesn't take the target out again.
+/// longer than VMs repeat the change to each other, so that a repetition doesn't take the target out again.
 static constexpr milliseconds initialUnreachableTime{1500};
 static constexpr std::uint32_t maxBackoffDoublings = 2;
 /// A peer's count for a plain target is valid for this many mean runs plus peerCountSlack, the time that its next message
@@ -72,16 +72,16 @@
 {
 }
 
-void target_pool::setHeld(pool_target &target, const residency_change &news)
+void target_pool::setHeld(pool_target &target, const residency_change &residencyChange)
 {
     std::vector<held_model> &models = target.listed.models;
-    const auto held = std::find_if(models.begin(), models.end(), [&news](const held_model &one) {
-        return one.model == news.model;
+    const auto held = std::find_if(models.begin(), models.end(), [&residencyChange](const held_model &one) {
+        return one.model == residencyChange.model;
     });
-    if (news.adapter.empty()) {
-        if (news.present && held == models.end()) {
-            models.push_back({news.model, {}});
-        } else if (!news.present && held != models.end()) {
+    if (residencyChange.adapter.empty()) {
+        if (residencyChange.present && held == models.end()) {
+            models.push_back({residencyChange.model, {}});
+        } else if (!residencyChange.present && held != models.end()) {
             models.erase(held);
         }
         return;
@@ -89,27 +89,27 @@
     if (held == models.end()) {
         return;
     }
-    if (news.present) {
-        held->adapters.insert(news.adapter);
+    if (residencyChange.present) {
+        held->adapters.insert(residencyChange.adapter);
     } else {
-        held->adapters.erase(news.adapter);
+        held->adapters.erase(residencyChange.adapter);
     }
 }
 
-void target_pool::applyNews(instant now, pool_target &target)
+void target_pool::applyResidencyChanges(instant now, pool_target &target)
 {
-    const auto found = m_news.find(target.listed.id);
-    if (found == m_news.end()) {
+    const auto found = m_residencyChanges.find(target.listed.id);
+    if (found == m_residencyChanges.end()) {
         return;
     }
-    std::erase_if(found->second, [now](const held_news &one) {
+    std::erase_if(found->second, [now](const unexpired_change &one) {
         return one.until <= now;
     });
-    for (const held_news &one : found->second) {
-        setHeld(target, one.news);
+    for (const unexpired_change &one : found->second) {
+        setHeld(target, one.residencyChange);
     }
     if (found->second.empty()) {
-        m_news.erase(found);
+        m_residencyChanges.erase(found);
     }
 }
 
@@ -119,7 +119,7 @@
     const target_listing before = entry.listed;
     entry.listed = std::move(target);
     entry.listedModels = entry.listed.models;
-    applyNews(now, entry);
+    applyResidencyChanges(now, entry);
     if (before.address != entry.listed.address) {
         entry.displaced = false;
         entry.unreachable = false;
@@ -133,11 +133,11 @@
     return before != entry.listed;
 }
 
-bool target_pool::expireNews(instant now)
+bool target_pool::expireResidencyChanges(instant now)
 {
     std::vector<target_id> lapsed;
-    for (const auto &[id, kept] : m_news) {
-        const bool anyLapsed = std::any_of(kept.begin(), kept.end(), [now](const held_news &one) {
+    for (const auto &[id, kept] : m_residencyChanges) {
+        const bool anyLapsed = std::any_of(kept.begin(), kept.end(), [now](const unexpired_change &one) {
             return one.until <= now;
         });
         if (anyLapsed) {
@@ -147,7 +147,7 @@
     for (const target_id &id : lapsed) {
         pool_target &target = m_targets.at(id);
         target.listed.models = target.listedModels;
-        applyNews(now, target);
+        applyResidencyChanges(now, target);
     }
     return !lapsed.empty();
 }
@@ -161,47 +161,47 @@
 void target_pool::unlist(const target_id &id)
 {
     m_targets.erase(id);
-    m_news.erase(id);
+    m_residencyChanges.erase(id);
     const auto key = m_keys.find(target_key(id));
     if (key != m_keys.end() && key->second == id) {
         m_keys.erase(key);
     }
 }
 
-void target_pool::addNews(instant now, const residency_change &news)
+void target_pool::addResidencyChange(instant now, const residency_change &residencyChange)
 {
-    const auto found = m_targets.find(news.target);
+    const auto found = m_targets.find(residencyChange.target);
     if (found == m_targets.end()) {
         return;
     }
-    if (news.model.empty()) {
-        noteUnreachable(now, news.target);
+    if (residencyChange.model.empty()) {
+        noteUnreachable(now, residencyChange.target);
         return;
     }
-    std::vector<held_news> &kept = m_news[news.target];
-    std::erase_if(kept, [&news](const held_news &one) {
-        return one.news.model == news.model && one.news.adapter == news.adapter;
+    std::vector<unexpired_change> &kept = m_residencyChanges[residencyChange.target];
+    std::erase_if(kept, [&residencyChange](const unexpired_change &one) {
+        return one.residencyChange.model == residencyChange.model && one.residencyChange.adapter == residencyChange.adapter;
     });
-    kept.push_back({news, now + newsOverrideTime});
-    setHeld(found->second, news);
+    kept.push_back({residencyChange, now + residencyChangeOverrideTime});
+    setHeld(found->second, residencyChange);
 }
 
 void target_pool::noteAbsent(instant now, const target_id &id, const model_id &model, const adapter_id &adapter)
 {
-    addNews(now, {id, model, adapter, false});
+    addResidencyChange(now, {id, model, adapter, false});
 }
 
-void target_pool::setPeerFlights(instant now, const vm_id &vm, const in_flight_counts &counts)
+void target_pool::setPeerInFlight(instant now, const vm_id &vm, const in_flight_counts &counts)
 {
     m_peers.set(now, vm, counts);
 }
 
-void target_pool::changePeerFlights(instant now, const vm_id &vm, const in_flight_counts &changed)
+void target_pool::updatePeerInFlight(instant now, const vm_id &vm, const in_flight_counts &changed)
 {
     m_peers.change(now, vm, changed);
 }
 
-void target_pool::forgetPeerFlights(const vm_id &vm)
+void target_pool::removePeerInFlight(const vm_id &vm)
 {
     m_peers.forget(vm);
 }
@@ -212,10 +212,10 @@
     if (found == m_targets.end()) {
         return false;
     }
-    const bool isNews = !found->second.displaced;
+    const bool newlyDisplaced = !found->second.displaced;
     found->second.displaced = true;
     found->second.displacedUntil = now + displacementTime;
-    return isNews;
+    return newlyDisplaced;
 }
 
 bool target_pool::noteUnreachable(instant now, const target_id &id)
@@ -393,7 +393,7 @@
     }
 }
 
-in_flight_counts target_pool::ownFlights() const
+in_flight_counts target_pool::ownInFlight() const
 {
     in_flight_counts counts;
     for (const auto &[id, target] : m_targets) {
--- a/packages/gateway/unittests/duty_lease_test.cpp
+++ b/packages/gateway/unittests/duty_lease_test.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr milliseconds turnTime{3000};
+constexpr milliseconds minHandoverTime{3000};
 constexpr instant start = instant(std::chrono::seconds(1000));
 
 /// Probability of each kind of fault, per opportunity.
@@ -123,7 +123,7 @@
         lease_options options;
         options.vm = vm_id("vm-" + std::to_string(vm));
         options.incarnation = m_incarnations;
-        options.turnTime = turnTime;
+        options.minHandoverTime = minHandoverTime;
         m_vms[vm].incarnation = m_incarnations;
         m_vms[vm].lease = std::make_unique<duty_lease>(options, m_now);
     }
@@ -192,7 +192,7 @@
         if (lease.isHolder(m_now)) {
             for (int other = 0; other < vmCount; ++other) {
                 if (other != vm && m_vms[other].frozenUntil <= m_now && !chance(m_faults.lostDigests)) {
-                    m_vms[other].lease->onHolderHeard(m_now);
+                    m_vms[other].lease->onHolderReport(m_now);
                 }
             }
         }
@@ -307,7 +307,7 @@
         if (after.fence == before.fence) {
             return ::testing::AssertionFailure() << "two VMs ordered under fence " << after.fence;
         }
-        if (after.at - before.at < turnTime) {
+        if (after.at - before.at < minHandoverTime) {
             return ::testing::AssertionFailure() << "next VM ordered after only " << (after.at - before.at).count() << " us";
         }
     }
@@ -359,7 +359,7 @@
     ASSERT_GE(second, 0);
     EXPECT_NE(second, first);
     // The successor waits for the turn time after the last order, not for the silence, the lease and the turn time.
-    EXPECT_LE(world.leaseOf(second).orderFrom() - releasedAt, turnTime + milliseconds(100));
+    EXPECT_LE(world.leaseOf(second).orderFrom() - releasedAt, minHandoverTime + milliseconds(100));
 }
 
 TEST(duty_lease, aHolderWithoutTheLogStopsAtLeaseExpiryAndRenounces)
@@ -383,7 +383,7 @@
     }
     EXPECT_LE(last - cutAt, milliseconds(1500));
     // Without the announcement a successor would wait for the silence, the lease and the turn time: 6.5 s.
-    EXPECT_LE(next - last, turnTime + milliseconds(300));
+    EXPECT_LE(next - last, minHandoverTime + milliseconds(300));
 }
 
 RC_GTEST_PROP(duty_lease, respectsTurnTimeUnderFaults, ())
--- a/packages/gateway/unittests/prompt_reading_test.cpp
+++ b/packages/gateway/unittests/prompt_reading_test.cpp
@@ -151,7 +151,7 @@
             const in_flight_counts changed = m_pools[vm].takeChangedFlights();
             for (std::size_t other = 0; other < vmCount; ++other) {
                 if (other != vm) {
-                    m_pools[other].changePeerFlights(m_now, vm_id("v" + std::to_string(vm)), changed);
+                    m_pools[other].updatePeerInFlight(m_now, vm_id("v" + std::to_string(vm)), changed);
                 }
             }
         }
--- a/packages/gateway/unittests/residency_reconciler_test.cpp
+++ b/packages/gateway/unittests/residency_reconciler_test.cpp
@@ -298,8 +298,8 @@
                 }
             });
         }
-        for (const residency_change &news : actions.news) {
-            m_unloadAnnouncements += news.adapter.empty() && !news.present ? 1 : 0;
+        for (const residency_change &residencyChange : actions.residencyChanges) {
+            m_unloadAnnouncements += residencyChange.adapter.empty() && !residencyChange.present ? 1 : 0;
         }
         for (const residency_order &order : actions.orders) {
             send(order);
@@ -339,7 +339,7 @@
     std::multimap<instant, std::function<void()>> m_due;
 };
 
-adapter_request adapterWant(int model, int adapter)
+adapter_request adapterRequest(int model, int adapter)
 {
     return {service, reconciler_fixture::modelAt(model), adapter_id("a" + std::to_string(adapter))};
 }
@@ -351,7 +351,7 @@
     reconciler_fixture fixture(1, 2, 0, 0);
     fixture.engine(1).held[reconciler_fixture::modelAt(0)];
     fixture.run(milliseconds(300));
-    fixture.reconciler().requestAdapter(fixture.now(), adapterWant(0, 1));
+    fixture.reconciler().requestAdapter(fixture.now(), adapterRequest(0, 1));
     fixture.run(milliseconds(50));
     EXPECT_TRUE(fixture.engine(1).held.at(reconciler_fixture::modelAt(0)).contains(adapter_id("a1")));
 }
@@ -367,7 +367,7 @@
     engine.inUse = {{model, adapter_id("a1")}, {model, adapter_id("a2")}, {model, adapter_id("a3")}};
     for (int adapter = 4; adapter < 8; ++adapter) {
         fixture.run(milliseconds(700), [&fixture, adapter] {
-            fixture.reconciler().requestAdapter(fixture.now(), adapterWant(0, adapter));
+            fixture.reconciler().requestAdapter(fixture.now(), adapterRequest(0, adapter));
         });
     }
     EXPECT_EQ(fixture.overloads(), 0);
@@ -554,7 +554,7 @@
         fixture.run(seconds(2), [&fixture, &random] {
             if (random() % 5 == 0) {
                 fixture.reconciler().requestAdapter(fixture.now(),
-                                                    adapterWant(static_cast<int>(random() % 6), 1 + static_cast<int>(random() % 8)));
+                                                    adapterRequest(static_cast<int>(random() % 6), 1 + static_cast<int>(random() % 8)));
             }
         });
         for (int model = 0; model < 6; ++model) {
--- a/packages/gateway/unittests/target_pool_test.cpp
+++ b/packages/gateway/unittests/target_pool_test.cpp
@@ -59,9 +59,9 @@
 
 TEST_F(target_pool_test, peersRequestsUseSlotsToo)
 {
-    m_pool.setPeerFlights(m_now, vm_id("peer"), {{target_id("near"), {4, 0}}});
+    m_pool.setPeerInFlight(m_now, vm_id("peer"), {{target_id("near"), {4, 0}}});
     EXPECT_EQ(choose("m"), "far");
-    m_pool.setPeerFlights(m_now, vm_id("other"), {{target_id("far"), {3, 0}}});
+    m_pool.setPeerInFlight(m_now, vm_id("other"), {{target_id("far"), {3, 0}}});
     m_pool.begin(target_id("far"), 0);
     EXPECT_EQ(choose("m"), "");
     EXPECT_EQ(m_verdict, pool_verdict::NoRoom);
@@ -117,9 +117,9 @@
     EXPECT_EQ(choose("m"), "near");
 }
 
-TEST_F(target_pool_test, newsOverridesAnOlderEntry)
+TEST_F(target_pool_test, residencyChangeOverridesAnOlderEntry)
 {
-    m_pool.addNews(m_now, {target_id("near"), model_id("k"), {}, true});
+    m_pool.addResidencyChange(m_now, {target_id("near"), model_id("k"), {}, true});
     EXPECT_EQ(choose("k"), "near");
     // The engine wrote this entry before the load completed.
     m_pool.list(m_now, engineAt("near", "here", {{model_id("m"), {}}}));
@@ -169,12 +169,12 @@
     plain.slots = 6;
     pool.list(start, plain);
     const target_query query{service_id("calls"), {}, {}, 0, nullptr};
-    pool.setPeerFlights(start, vm_id("b"), {{target_id("p1"), {6, 0}}});
+    pool.setPeerInFlight(start, vm_id("b"), {{target_id("p1"), {6, 0}}});
     EXPECT_EQ(pool.choose(start + milliseconds(500), query, 1).verdict, pool_verdict::NoRoom) << "run time isn't known yet";
     for (int run = 0; run < 20; ++run) {
         pool.noteRun(service_id("calls"), milliseconds(15));
     }
-    pool.changePeerFlights(start + milliseconds(500), vm_id("b"), {{target_id("p1"), {6, 0}}});
+    pool.updatePeerInFlight(start + milliseconds(500), vm_id("b"), {{target_id("p1"), {6, 0}}});
     EXPECT_EQ(pool.choose(start + milliseconds(510), query, 1).verdict, pool_verdict::NoRoom);
     EXPECT_EQ(pool.choose(start + milliseconds(560), query, 1).verdict, pool_verdict::Chosen);
 }
@@ -192,7 +192,7 @@
     engine.models = {{model_id("m1"), {}}};
     pool.list(start, engine);
     pool.noteRun(service_id("models"), milliseconds(15));
-    pool.setPeerFlights(start, vm_id("b"), {{target_id("e1"), {6, 0}}});
+    pool.setPeerInFlight(start, vm_id("b"), {{target_id("e1"), {6, 0}}});
     EXPECT_EQ(pool.choose(start + milliseconds(900), {service_id("models"), model_id("m1"), {}, 0, nullptr}, 1).verdict,
               pool_verdict::NoRoom);
 }
@@ -226,7 +226,7 @@
             break;
         }
         case 2:
-            pool.setPeerFlights(now, vm, counts);
+            pool.setPeerInFlight(now, vm, counts);
             latestCounts[vm] = counts;
             break;
         case 3:
@@ -235,7 +235,7 @@
             latestCounts.clear();
             break;
         default:
-            pool.changePeerFlights(now, vm, counts);
+            pool.updatePeerInFlight(now, vm, counts);
             for (const auto &[id, count] : counts) {
                 latestCounts[vm][id] = count;
             }
@@ -252,8 +252,8 @@
     }
 }
 
-/// A repeated entry isn't listed again, so the listed models must be restored when news expires.
-TEST(target_pool_news, expiredNewsRestoresTheListing)
+/// A repeated entry isn't listed again, so the listed models must be restored when a residency change expires.
+TEST(target_pool_residency_change, expiredChangeRestoresTheListing)
 {
     constexpr instant start = instant(std::chrono::seconds(1000));
     target_pool pool{domain_id("a")};
@@ -264,25 +264,25 @@
     engine.models = {{model_id("m1"), {}}};
     pool.list(start, engine);
     pool.noteAbsent(start, engine.id, model_id("m1"), {});
-    pool.addNews(start + milliseconds(1000), {engine.id, model_id("m2"), {}, true});
+    pool.addResidencyChange(start + milliseconds(1000), {engine.id, model_id("m2"), {}, true});
     EXPECT_FALSE(pool.find(engine.id)->holds(model_id("m1"), {}));
-    EXPECT_FALSE(pool.expireNews(start + milliseconds(500)));
-    EXPECT_TRUE(pool.expireNews(start + milliseconds(3500)));
+    EXPECT_FALSE(pool.expireResidencyChanges(start + milliseconds(500)));
+    EXPECT_TRUE(pool.expireResidencyChanges(start + milliseconds(3500)));
     EXPECT_TRUE(pool.find(engine.id)->holds(model_id("m1"), {}));
-    EXPECT_TRUE(pool.find(engine.id)->holds(model_id("m2"), {})) << "this news hasn't expired yet";
+    EXPECT_TRUE(pool.find(engine.id)->holds(model_id("m2"), {})) << "this change hasn't expired yet";
 }
 
 /// A crashed engine has nothing in flight. Guards against its being every VM's first choice until its entry expires.
 TEST_F(target_pool_test, aTargetWhoseHostRefusesIsNotChosenUntilItHadTimeToRestart)
 {
     EXPECT_EQ(choose("n"), "far");
-    m_pool.addNews(m_now, {target_id("far"), {}, {}, false});
+    m_pool.addResidencyChange(m_now, {target_id("far"), {}, {}, false});
     EXPECT_EQ(choose("n"), "");
     EXPECT_FALSE(m_pool.find(target_id("far"))->takesNew());
-    m_pool.addNews(m_now + milliseconds(900), {target_id("far"), {}, {}, false});
+    m_pool.addResidencyChange(m_now + milliseconds(900), {target_id("far"), {}, {}, false});
     m_now += milliseconds(1600);
     m_pool.expirePeers(m_now);
-    EXPECT_EQ(choose("n"), "far") << "repeated news must not extend the time";
+    EXPECT_EQ(choose("n"), "far") << "a repeated change must not extend the time";
     EXPECT_TRUE(m_pool.noteUnreachable(m_now, target_id("far")));
     m_now += milliseconds(1600);
     m_pool.expirePeers(m_now);
